--- a/emulator/src/judge.rs
+++ b/emulator/src/judge.rs
@@ -5,7 +5,7 @@
 //! that was asked has one answer.
 
 use crate::model::{Entry, Millis, Note, TokenKind};
-use marllink_keep::Ballot;
+use marllink_lease_protocol::Ballot;
 use std::collections::{BTreeMap, HashMap};
 
 /// What was found.
--- a/emulator/src/model/holder.rs
+++ b/emulator/src/model/holder.rs
@@ -3,7 +3,7 @@
 
 use super::record::{Note, name};
 use super::{Millis, Plant};
-use marllink_keep::{Ballot, SessionId};
+use marllink_lease_protocol::{Ballot, SessionId};
 use std::collections::{BTreeMap, HashMap};
 
 /// What a holder says on a connection, or does with it.
--- a/emulator/src/model/keeper.rs
+++ b/emulator/src/model/keeper.rs
@@ -2,7 +2,7 @@
 //! rules; this follows them word by word.
 
 use super::{Millis, Plant};
-use marllink_keep::{
+use marllink_lease_protocol::{
     Append, Ballot, Call, Claim, Confirm, Hold, Holder, Journal, Point, Pointer, Promised, Refused, Release,
     Renewed, Reply, SessionId, Stored, Why, call, reply,
 };
--- a/emulator/src/model/record.rs
+++ b/emulator/src/model/record.rs
@@ -1,7 +1,7 @@
 //! What form hosts and clients write down of what they see, for the checkers to read.
 
 use super::Millis;
-use marllink_keep::{Ballot, SessionId};
+use marllink_lease_protocol::{Ballot, SessionId};
 use serde::{Deserialize, Serialize};
 
 /// One line of what was written down.
--- a/emulator/src/sockets/hosts.rs
+++ b/emulator/src/sockets/hosts.rs
@@ -3,7 +3,7 @@
 
 use super::{Ledger, sleep};
 use crate::model::{Holder, Keeper, Millis, Plant, Say};
-use marllink_keep::{self as keep, Ballot, Call, Frames, Reply, SessionId, call, reply};
+use marllink_lease_protocol::{self as keep, Ballot, Call, Frames, Reply, SessionId, call, reply};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
 use std::io::ErrorKind;
--- a/node/src/membership/discovery.rs
+++ b/node/src/membership/discovery.rs
@@ -16,7 +16,7 @@
 use crate::protocol::discovery::{self as syntax, List, Said, Target};
 use crate::protocol::http::{self, Read};
 use marllink::{Event, ListKind, ServerId};
-use marllink_pacing::calls::{ANSWER_MS, BUSY_MS, CONNECT_MS, SILENT_MS};
+use marllink_rate_limits::calls::{ANSWER_MS, BUSY_MS, CONNECT_MS, SILENT_MS};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/node/src/operations/shutdown.rs
+++ b/node/src/operations/shutdown.rs
@@ -6,7 +6,7 @@
 use crate::io::listener::Listener;
 use crate::operations::handover::Handover;
 use crate::operations::tuning::Tuning;
-use marllink_pacing::ending::Ending;
+use marllink_rate_limits::ending::Ending;
 use std::rc::Rc;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
--- a/pacing/tests/calls.rs
+++ b/rate-limits/tests/calls.rs
@@ -1,7 +1,7 @@
 //! When discovery is called, and how late a change can be known.
 #![allow(missing_docs, reason = "tests are named for what they show")]
 
-use marllink_pacing::calls::{
+use marllink_rate_limits::calls::{
     ANSWER_MS, BUSY_MS, CONNECT_MS, LONGEST_TURN_MS, SILENT_MS, TOLD_MS, TURN_MS, again, first,
 };
 
--- a/pacing/tests/cold.rs
+++ b/rate-limits/tests/cold.rs
@@ -1,7 +1,7 @@
 //! What all balancers together send a host that has just started.
 #![allow(missing_docs, reason = "tests are named for what they show")]
 
-use marllink_pacing::{Budget, Pace, Rate};
+use marllink_rate_limits::{Budget, Pace, Rate};
 
 struct Even(u64);
 
--- a/pacing/tests/ending.rs
+++ b/rate-limits/tests/ending.rs
@@ -1,7 +1,7 @@
 //! The parts of a planned end, by the longest deadline.
 #![allow(missing_docs, reason = "tests are named for what they show")]
 
-use marllink_pacing::ending::Ending;
+use marllink_rate_limits::ending::Ending;
 
 /// What the platform's page says of SIGKILL.
 fn killed_at(longest_ms: f64) -> f64 {
--- a/relief/src/lib.rs
+++ b/rebalancing/src/lib.rs
@@ -5,7 +5,7 @@
 //! balancer. No I/O, no clock, no randomness: time is an argument.
 //!
 //! ```
-//! use marllink_relief::Strain;
+//! use marllink_rebalancing::Strain;
 //!
 //! let mut strain = Strain::new(0.0);
 //! // Twice the aim of 100 ms, with 20 connections of this balancer there.
--- a/knowledge/src/lib.rs
+++ b/server-state/src/lib.rs
@@ -10,7 +10,7 @@
 //! commands. Generic over how hosts are named, so that it knows nothing of who decides.
 //!
 //! ```
-//! use marllink_knowledge::{Command, Event, Knowledge, Settings};
+//! use marllink_server_state::{Command, Event, Knowledge, Settings};
 //!
 //! let mut knowledge = Knowledge::new(Settings::default());
 //! let mut out = Vec::new();
--- a/knowledge/tests/asking.rs
+++ b/server-state/tests/asking.rs
@@ -1,7 +1,7 @@
 //! Who is asked, who waits, and for how long what was said counts.
 #![allow(missing_docs, reason = "tests are named for what they show")]
 
-use marllink_knowledge::{Command, Event, Knowledge, Settings};
+use marllink_server_state::{Command, Event, Knowledge, Settings};
 use proptest::prelude::*;
 
 type Known = Knowledge<u32, f64>;
--- a/sessions/src/claim.rs
+++ b/sessions/src/claim.rs
@@ -1,7 +1,7 @@
 //! A claim on a session: what its keepers have answered, and what follows from that.
 
 use marllink::{Millis, RequestId};
-use marllink_keep::{Ballot, Configuration, Holder, Pointer, Promised};
+use marllink_lease_protocol::{Ballot, Configuration, Holder, Pointer, Promised};
 
 /// What a keeper has answered.
 #[derive(Clone, Debug)]
@@ -179,7 +179,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use marllink_keep::{Journal, Member};
+    use marllink_lease_protocol::{Journal, Member};
 
     fn ballot(epoch: u64, attempt: u32) -> Ballot {
         Ballot { epoch, attempt }
--- a/sessions/src/journal.rs
+++ b/sessions/src/journal.rs
@@ -1,6 +1,6 @@
 //! What a session has saved.
 
-use marllink_keep as keep;
+use marllink_lease_protocol as keep;
 use std::collections::BTreeMap;
 
 /// Room that a field takes besides its name and its value, in bytes.
--- a/sessions/src/lib.rs
+++ b/sessions/src/lib.rs
@@ -20,4 +20,4 @@
 pub use token::{Token, TokenError};
 pub use vocabulary::*;
 
-pub use marllink_keep as keep;
+pub use marllink_lease_protocol as keep;
--- a/sessions/src/machine.rs
+++ b/sessions/src/machine.rs
@@ -12,7 +12,7 @@
 use crate::vocabulary::*;
 use keeping::Server;
 use marllink::{Millis, RequestId, ServerId};
-use marllink_keep::{Call, SessionId, call};
+use marllink_lease_protocol::{Call, SessionId, call};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use rand_xoshiro::rand_core::{Rng, SeedableRng};
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -155,7 +155,7 @@
 
     /// Under which ballot the form host of this request's attempt is to hold its session.
     #[must_use]
-    pub fn held_as(&self, request: RequestId) -> Option<(SessionId, marllink_keep::Ballot)> {
+    pub fn held_as(&self, request: RequestId) -> Option<(SessionId, marllink_lease_protocol::Ballot)> {
         self.of(request).filter(|s| s.request == Some(request)).map(|s| (s.id, s.ballot))
     }
 
@@ -275,7 +275,12 @@
     }
 
     /// Says something to each of these that is linked as the member it was.
-    fn call_all(&self, members: &[marllink_keep::Member], body: &call::Body, out: &mut Vec<Command>) {
+    fn call_all(
+        &self,
+        members: &[marllink_lease_protocol::Member],
+        body: &call::Body,
+        out: &mut Vec<Command>,
+    ) {
         for member in members {
             if self.servers.get(&member.server).is_some_and(|s| s.is(member.incarnation)) {
                 let server = ServerId(member.server);
--- a/sessions/src/machine/claiming.rs
+++ b/sessions/src/machine/claiming.rs
@@ -6,7 +6,7 @@
 use crate::token::Token;
 use crate::vocabulary::{Ask, Command, Note, Rejection};
 use marllink::{Millis, RequestId, ServerId};
-use marllink_keep::{
+use marllink_lease_protocol::{
     Ballot, Call, Claim as ClaimCall, Configuration, LetGo, Point, Pointer, Promised, Refused, SessionId,
     Why, call,
 };
--- a/sessions/src/machine/holding.rs
+++ b/sessions/src/machine/holding.rs
@@ -7,7 +7,7 @@
 use crate::token::Token;
 use crate::vocabulary::{Command, Note, Passed};
 use marllink::{Millis, RequestId, ServerId};
-use marllink_keep::{Append, Ballot, Configuration, Confirm, Field, Member, SessionId, call};
+use marllink_lease_protocol::{Append, Ballot, Configuration, Confirm, Field, Member, SessionId, call};
 use rand_xoshiro::rand_core::Rng;
 
 /// A holder's first lease is no shorter than this share of a whole one: it would have to ask again
--- a/sessions/src/machine/keeping.rs
+++ b/sessions/src/machine/keeping.rs
@@ -5,7 +5,7 @@
 use crate::session::{State, Vote};
 use crate::vocabulary::{Command, Listed, Note};
 use marllink::{Millis, ServerId, ZoneId};
-use marllink_keep::{
+use marllink_lease_protocol::{
     Ballot, Call, Configuration, Hold, Member, Point, Pointer, Refused, Renew, Reply, SessionId, Stored, Why,
     call, reply,
 };
@@ -538,7 +538,7 @@
         over: bool,
         out: &mut Vec<Command>,
     ) {
-        let release = marllink_keep::Release { session: id, ballot, over };
+        let release = marllink_lease_protocol::Release { session: id, ballot, over };
         self.call_all(members, &call::Body::Release(release), out);
     }
 }
--- a/sessions/src/placement.rs
+++ b/sessions/src/placement.rs
@@ -2,7 +2,7 @@
 //! increase hit rates", 1998), spread over the zones.
 
 use marllink::{ServerId, ZoneId};
-use marllink_keep::SessionId;
+use marllink_lease_protocol::SessionId;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// A form host that may keep.
--- a/sessions/src/session.rs
+++ b/sessions/src/session.rs
@@ -3,7 +3,7 @@
 use crate::claim::Claim;
 use crate::journal::Journal;
 use marllink::{Millis, RequestId, ServerId};
-use marllink_keep::{Ballot, Configuration, Field, Member, SessionId};
+use marllink_lease_protocol::{Ballot, Configuration, Field, Member, SessionId};
 use std::collections::VecDeque;
 
 /// Where a session is in its life here.
--- a/sessions/src/timers.rs
+++ b/sessions/src/timers.rs
@@ -1,7 +1,7 @@
 //! What is due when: each thing has one time at most, and only what is due is looked at.
 
 use marllink::Millis;
-use marllink_keep::SessionId;
+use marllink_lease_protocol::SessionId;
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
 
--- a/sessions/src/token.rs
+++ b/sessions/src/token.rs
@@ -8,7 +8,7 @@
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use chacha20poly1305::aead::{Aead, Payload};
-use marllink_keep::{Configuration, SessionId};
+use marllink_lease_protocol::{Configuration, SessionId};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
@@ -163,7 +163,7 @@
 mod tests {
     use super::*;
     use crate::keys::KeyError;
-    use marllink_keep::Member;
+    use marllink_lease_protocol::Member;
 
     const NOW: f64 = 1_700_000_000_000.0;
 
--- a/sessions/src/vocabulary.rs
+++ b/sessions/src/vocabulary.rs
@@ -3,7 +3,7 @@
 use crate::keys::KeyRing;
 use crate::token::TokenError;
 use marllink::{Millis, RequestId, ServerId, ZoneId};
-use marllink_keep::{Ballot, Call, Configuration, Field, Journal, Reply, SessionId};
+use marllink_lease_protocol::{Ballot, Call, Configuration, Field, Journal, Reply, SessionId};
 use serde::{Deserialize, Serialize};
 
 /// What the operators have set.
--- a/sessions/tests/world/mod.rs
+++ b/sessions/tests/world/mod.rs
@@ -5,7 +5,7 @@
 use marllink::{RequestId, ServerId, ZoneId};
 use marllink_emulator::judge::{Verdict, judge};
 use marllink_emulator::model::{Drafter, Entry, Habits, Holder, Keeper, Note, Plant, Say, Wish};
-use marllink_keep::{Ballot, Call, Field, Reply, SessionId, call, reply};
+use marllink_lease_protocol::{Ballot, Call, Field, Reply, SessionId, call, reply};
 use marllink_sessions::{Ask, Command, Event, KeyRing, Listed, Sessions, Settings};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -11,9 +11,9 @@
 use crate::variant::{Plant, Variant};
 use marllink_admission::Shares;
 use marllink_affinity::Sizes;
-use marllink_knowledge::{Command, Event as Asked, Held, Silence, Verdict};
-use marllink_pacing::{Pace, Rate, Shortage, by_share, relief, whole};
+use marllink_rate_limits::{Pace, Rate, Shortage, by_share, relief, whole};
 use marllink_retries::{Limiter, Ran};
+use marllink_server_state::{Command, Event as Asked, Held, Silence, Verdict};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use rand_xoshiro::rand_core::{Rng, SeedableRng};
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -188,7 +188,7 @@
     /// What a successor is told of the fleet.
     fleet: Fleet,
     /// What servers have said of their load, and which picks wait for that.
-    reports: marllink_knowledge::Knowledge<ServerId, Told>,
+    reports: marllink_server_state::Knowledge<ServerId, Told>,
     silence: Silence<ServerId>,
     retries: Limiter,
     burst: Rate,
@@ -219,7 +219,7 @@
     pub fn varied(settings: Settings, seed: u64, now: Millis, variant: Variant) -> Self {
         Self {
             slow_aim: settings.slow_aim(),
-            reports: marllink_knowledge::Knowledge::new(settings.asking()),
+            reports: marllink_server_state::Knowledge::new(settings.asking()),
             silence: Silence::default(),
             retries: Limiter::new(variant.retries.clone(), settings.nodes, now),
             burst: Rate::new(BURST_TAU_MS, now),
@@ -562,7 +562,7 @@
         let server = &mut self.servers[slot];
         let excess = server.track.strain.note(self.now, delay_ms, self.slow_aim, f64::from(server.open));
         let planted = self.variant.plant == Some(Plant::MoveWhenAllSlow);
-        self.move_some(slot, if planted { excess / marllink_relief::MOVED_SHARE } else { excess }, out);
+        self.move_some(slot, if planted { excess / marllink_rebalancing::MOVED_SHARE } else { excess }, out);
     }
 
     /// True if a server must take nothing new: messages on it are slow, or it is at its limit.
--- a/src/decide/membership.rs
+++ b/src/decide/membership.rs
@@ -4,8 +4,8 @@
 use super::{ASK, Balancer, LEAVE_MS, NOWHERE, REPORT_AGE, Server};
 use crate::draws::draws_for;
 use crate::interface::*;
-use marllink_knowledge::Event as Asked;
-use marllink_pacing::{Budget, calls};
+use marllink_rate_limits::{Budget, calls};
+use marllink_server_state::Event as Asked;
 use rustc_hash::FxHashMap;
 
 impl Balancer {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -2,11 +2,11 @@
 //!
 //! Times are `f64` milliseconds on one monotonic clock of the embedding node; its origin is free.
 
-use marllink_knowledge::Carrying;
-pub use marllink_knowledge::Sign;
-use marllink_pacing::{Budget, Rate, Shortage};
-pub use marllink_relief::Strain;
+use marllink_rate_limits::{Budget, Rate, Shortage};
+pub use marllink_rebalancing::Strain;
 pub use marllink_retries::{Effect, KeyScope};
+use marllink_server_state::Carrying;
+pub use marllink_server_state::Sign;
 use serde::{Deserialize, Serialize};
 
 /// Milliseconds, as a point on the node's monotonic clock or as a span.
@@ -221,11 +221,11 @@
     }
 
     /// How servers are asked for their load.
-    pub(crate) fn asking(&self) -> marllink_knowledge::Settings {
+    pub(crate) fn asking(&self) -> marllink_server_state::Settings {
         let aims = self.classes.iter().map(|c| c.aim_ms).filter(|a| *a > 0.0);
-        let usual = marllink_knowledge::Settings::default();
+        let usual = marllink_server_state::Settings::default();
         let patience_ms = usual.patience_ms.min(aims.fold(f64::INFINITY, f64::min) * ASK_SHARE);
-        marllink_knowledge::Settings { patience_ms, ..usual }
+        marllink_server_state::Settings { patience_ms, ..usual }
     }
 }
 
