--- a/node/src/host/links.rs
+++ b/node/src/backend/lease_link.rs
@@ -1,6 +1,6 @@
 //! Links to keepers: one to a form host at most, each with a task that owns its socket.
 
-use crate::exchange::resume::Resume;
+use crate::exchange::session_driver::SessionDriver;
 use crate::io::clock::{Clock, Millis};
 use crate::io::connect::connect;
 use crate::io::descriptors::Descriptor;
@@ -17,7 +17,7 @@
 
 /// Makes a link and carries it to its end, of which it tells.
 pub async fn run(
-    resume: Weak<Resume>,
+    resume: Weak<SessionDriver>,
     clock: Clock,
     server: ServerId,
     address: SocketAddr,
@@ -62,7 +62,12 @@
     }
 }
 
-async fn hear(resume: &Weak<Resume>, server: ServerId, stream: &TcpStream, mut frames: Frames) -> String {
+async fn hear(
+    resume: &Weak<SessionDriver>,
+    server: ServerId,
+    stream: &TcpStream,
+    mut frames: Frames,
+) -> String {
     loop {
         loop {
             match frames.next_frame::<Reply>() {
--- a/node/src/host/mod.rs
+++ b/node/src/backend/mod.rs
@@ -1,7 +1,7 @@
 //! The side of form hosts.
 
 pub mod backoff;
-pub mod delay;
-pub mod links;
+pub mod lease_link;
+pub mod load_line;
+pub mod message_delay;
 pub mod server;
-pub mod told;
--- a/node/src/host/server.rs
+++ b/node/src/backend/server.rs
@@ -1,8 +1,8 @@
 //! The server side: makes attempts and probes at form hosts. Knows nothing of clients.
 
+use crate::backend::backoff::Backoff;
 use crate::exchange::record::{AttemptCause, AttemptEnd, Broken};
 use crate::exchange::{Attempt, AttemptHandle, Order, Pipe, Probe};
-use crate::host::backoff::Backoff;
 use crate::io::clock::{Clock, Millis};
 use crate::io::connect::{ConnectError, connect};
 use crate::io::descriptors::Descriptor;
--- a/node/src/core.rs
+++ b/node/src/core.rs
@@ -80,7 +80,7 @@
     }
 
     /// Waits until a connection stands that was not there before. For one caller.
-    pub async fn served(&self) {
+    pub async fn connection_established(&self) {
         self.served.notified().await;
     }
 
--- a/node/src/exchange/holders.rs
+++ b/node/src/exchange/handles.rs
@@ -2,7 +2,7 @@
 
 use super::record::{AttemptEnd, AttemptRecord, EndReason};
 use super::{Cancellation, Entry, Exchange, Phase, Pipe};
-use crate::host::told::{self, Meaning, Seen};
+use crate::backend::load_line::{self, Meaning, Seen};
 use crate::io::clock::Millis;
 use crate::protocol::report::{self, Report};
 use marllink::{AttemptNo, Event, Outcome, RequestId, ServerId, Sign};
@@ -172,7 +172,7 @@
             let (stood_at, load_before) = (pipe.stood_at.get(), pipe.load.get());
             let (delay_at, bound) = (delays.told_at(self.server), delays.bound());
             let seen = Seen { now, stood_at, load: load_before, delay_at, bound };
-            let meaning = told::meaning(load, &seen);
+            let meaning = load_line::meaning(load, &seen);
             if meaning != Meaning::Load {
                 delays.told(self.server, now);
                 drop(delays);
--- a/node/src/exchange/mod.rs
+++ b/node/src/exchange/mod.rs
@@ -5,14 +5,14 @@
 //! side holds a [`RequestHandle`] and the server side an [`AttemptHandle`]; each gives back what it stands for
 //! when it is dropped, however its task ends.
 
-mod holders;
-mod orders;
+mod commands;
+mod handles;
 mod pipe;
 pub mod record;
-pub mod resume;
+pub mod session_driver;
 
+use crate::backend::message_delay::Delays;
 use crate::core::{Core, Requests};
-use crate::host::delay::Delays;
 use crate::io::clock::{Clock, Millis};
 use crate::io::descriptors::{Descriptors, Purpose};
 use crate::io::pump::Between;
@@ -22,14 +22,14 @@
 use crate::protocol::handover::Connection;
 use crate::protocol::line::{self, Opening};
 use crate::protocol::session::{self, FromClient};
-pub use holders::{AttemptHandle, ProbeResult, RequestHandle};
+pub use commands::{Adopted, Attempt, Order, Probe, Restores};
+pub use handles::{AttemptHandle, ProbeResult, RequestHandle};
 use marllink::{AttemptNo, ClassId, Effect, Event, NewRequest, Outcome, RequestId, ServerId, Sign, TenantId};
 use marllink_sessions::{Ask, Event as SessionEvent};
-pub use orders::{Adopted, Attempt, Order, Probe, Restores};
 use pipe::Handoff;
-pub use pipe::{Passed, Pipe, Socket};
+pub use pipe::{HandedOffConnection, HandedOffSocket, Pipe};
 use record::{AttemptCause, AttemptEnd, AttemptRecord, EndReason, RequestRecord};
-use resume::Resume;
+use session_driver::SessionDriver;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::rc::{Rc, Weak};
@@ -142,7 +142,7 @@
     elsewhere: RefCell<HashSet<u64>>,
     delays: RefCell<Delays>,
     /// Sessions, where they are switched on.
-    resume: Option<Rc<Resume>>,
+    resume: Option<Rc<SessionDriver>>,
     me: Weak<Exchange>,
 }
 
@@ -155,7 +155,7 @@
         descriptors: Rc<Descriptors>,
         tuning: Rc<Tuning>,
         sides: Sides,
-        resume: Option<Rc<Resume>>,
+        resume: Option<Rc<SessionDriver>>,
     ) -> Rc<Self> {
         let Sides { orders, adopted } = sides;
         let delays = RefCell::new(Delays::new(strictest_aim(&tuning)));
@@ -318,7 +318,7 @@
     }
 
     /// The settings in force have changed.
-    pub fn retuned(&self) {
+    pub fn settings_changed(&self) {
         self.delays.borrow_mut().tell_over(strictest_aim(&self.tuning));
     }
 
@@ -330,24 +330,24 @@
     }
 
     /// These ids are in use at a predecessor.
-    pub fn held_elsewhere(&self, ids: Vec<u64>) {
+    pub fn set_predecessor_ids(&self, ids: Vec<u64>) {
         *self.elsewhere.borrow_mut() = ids.into_iter().collect();
     }
 
     /// Moves so many of the connections that stand, oldest first.
-    pub fn move_some(&self, count: usize) {
+    pub fn move_oldest(&self, count: usize) {
         for id in self.ids(|e| matches!(e.phase, Phase::Standing)).into_iter().take(count) {
             self.move_client(id);
         }
     }
 
     /// Connections that stand.
-    pub fn standing(&self) -> usize {
+    pub fn established_count(&self) -> usize {
         self.entries.borrow().values().filter(|e| matches!(e.phase, Phase::Standing)).count()
     }
 
     /// Has up to `most` connections of which nothing is under way passed on. Here they are over.
-    pub fn hand_off(&self, most: usize, to: &mpsc::UnboundedSender<Passed>) {
+    pub fn hand_off_idle(&self, most: usize, to: &mpsc::UnboundedSender<HandedOffConnection>) {
         let mut entries = self.entries.borrow_mut();
         let busy = |id| self.resume.as_ref().is_some_and(|resume| resume.is_busy(id));
         let idle = |(id, e): &(&RequestId, &mut Entry)| {
@@ -434,7 +434,7 @@
     }
 
     /// Sessions, where they are switched on.
-    pub fn resume(&self) -> Option<&Rc<Resume>> {
+    pub fn session_driver(&self) -> Option<&Rc<SessionDriver>> {
         self.resume.as_ref()
     }
 
@@ -496,7 +496,7 @@
     }
 
     /// The ways of lines about a session, if this request has one.
-    fn session_of(&self, id: RequestId) -> Option<&Rc<Resume>> {
+    fn session_of(&self, id: RequestId) -> Option<&Rc<SessionDriver>> {
         let has = self.entries.borrow().get(&id).is_some_and(|e| e.pipe.session.get());
         self.resume.as_ref().filter(|_| has)
     }
@@ -527,7 +527,7 @@
     }
 
     /// Has every request that still waits get its final answer.
-    pub fn answer_all(&self) {
+    pub fn answer_all_waiting(&self) {
         for id in self.ids(|e| matches!(e.phase, Phase::Waiting)) {
             self.answer_now(id);
         }
@@ -547,7 +547,7 @@
     }
 
     /// Requests that are not over yet.
-    pub fn len(&self) -> usize {
+    pub fn request_count(&self) -> usize {
         self.entries.borrow().len()
     }
 
--- a/node/src/exchange/pipe.rs
+++ b/node/src/exchange/pipe.rs
@@ -1,6 +1,6 @@
 //! The two directions of a connection, and its sockets on their way to another process.
 
-use crate::host::delay::Waiting;
+use crate::backend::message_delay::Waiting;
 use crate::io::clock::Millis;
 use crate::io::descriptors::Descriptor;
 use crate::io::pump::Between;
@@ -85,7 +85,7 @@
         &self,
         socket: TcpStream,
         descriptor: Descriptor,
-        end: impl Fn(&Handoff) -> &RefCell<Option<Socket>>,
+        end: impl Fn(&Handoff) -> &RefCell<Option<HandedOffSocket>>,
     ) {
         let handoff = self.handoff.borrow().clone();
         match handoff.map(|handoff| (handoff, socket.into_std())) {
@@ -105,24 +105,24 @@
 }
 
 /// A socket that is passed on, and the count that goes back once it is closed here.
-pub type Socket = (OwnedFd, Descriptor);
+pub type HandedOffSocket = (OwnedFd, Descriptor);
 
 /// A connection on its way to another process.
 #[derive(Debug)]
-pub struct Passed {
+pub struct HandedOffConnection {
     /// What it is.
     pub connection: Connection,
     /// The client's socket and the form host's.
-    pub sockets: [Socket; 2],
+    pub sockets: [HandedOffSocket; 2],
 }
 
 /// Waits for both sides to give their sockets back.
 #[derive(Debug)]
 pub(super) struct Handoff {
     pub(super) connection: Connection,
-    pub(super) client: RefCell<Option<Socket>>,
-    pub(super) host: RefCell<Option<Socket>>,
-    pub(super) to: mpsc::UnboundedSender<Passed>,
+    pub(super) client: RefCell<Option<HandedOffSocket>>,
+    pub(super) host: RefCell<Option<HandedOffSocket>>,
+    pub(super) to: mpsc::UnboundedSender<HandedOffConnection>,
 }
 
 impl Handoff {
@@ -130,7 +130,10 @@
         match (self.client.take(), self.host.take()) {
             (Some(client), Some(host)) => {
                 // If nobody takes it, it is closed.
-                let _ = self.to.send(Passed { connection: self.connection.clone(), sockets: [client, host] });
+                let _ = self.to.send(HandedOffConnection {
+                    connection: self.connection.clone(),
+                    sockets: [client, host],
+                });
             }
             (client, host) => {
                 self.client.replace(client);
--- a/node/src/exchange/resume.rs
+++ b/node/src/exchange/session_driver.rs
@@ -4,7 +4,7 @@
 //! is a request like any other. What the machine needs to know of it comes from the exchange.
 
 use super::Exchange;
-use crate::host::links;
+use crate::backend::lease_link;
 use crate::io::clock::Clock;
 use crate::io::descriptors::{Descriptors, Purpose};
 use crate::io::pump::Between;
@@ -18,7 +18,7 @@
 use tokio::task::AbortHandle;
 
 /// The sessions of this process.
-pub struct Resume {
+pub struct SessionDriver {
     clock: Clock,
     machine: RefCell<Sessions>,
     commands: RefCell<VecDeque<Command>>,
@@ -29,7 +29,7 @@
     descriptors: Rc<Descriptors>,
     tuning: Rc<Tuning>,
     exchange: RefCell<Weak<Exchange>>,
-    me: Weak<Resume>,
+    me: Weak<SessionDriver>,
 }
 
 struct Link {
@@ -37,7 +37,7 @@
     task: AbortHandle,
 }
 
-impl Resume {
+impl SessionDriver {
     /// Sessions of a process that has none yet; `seed` is drawn by the system.
     pub fn new(
         clock: Clock,
@@ -85,7 +85,7 @@
     }
 
     /// The form hosts that are known have changed.
-    pub fn listed(&self, listed: Vec<Listed>) {
+    pub fn servers_changed(&self, listed: Vec<Listed>) {
         self.feed(Event::Servers(listed));
     }
 
@@ -189,7 +189,7 @@
         };
         let words = Rc::new(Between::default());
         let owner = self.machine.borrow().owner();
-        let link = links::run(
+        let link = lease_link::run(
             Rc::downgrade(&resume),
             self.clock.clone(),
             server,
--- a/node/src/front/line.rs
+++ b/node/src/frontend/line.rs
@@ -42,7 +42,7 @@
 const TELL_MS: Millis = 10_000.0;
 
 /// The client side.
-pub struct Clients {
+pub struct LineFrontend {
     /// Where requests go.
     pub exchange: Rc<Exchange>,
     /// For the time limits.
@@ -61,7 +61,7 @@
     pub turned_away: Cell<usize>,
 }
 
-impl Clients {
+impl LineFrontend {
     /// Accepts connections for ever, while this process serves.
     pub async fn accept(self: Rc<Self>, listener: &Listener) {
         let mut serving = self.serving.clone();
@@ -110,7 +110,7 @@
 
     /// Takes connections that wait to be accepted now, whether or not the event loop has heard of them. Tells if
     /// there were any.
-    pub fn accept_waiting(self: &Rc<Self>, listener: &Listener) -> bool {
+    pub fn accept_pending(self: &Rc<Self>, listener: &Listener) -> bool {
         let mut any = false;
         while let Some(stream) = listener.accept_waiting() {
             any = true;
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -5,11 +5,11 @@
 //! a running process; `io` is what all of them stand on; `protocol` is syntax alone. `core` runs the
 //! decisions, and `serve` puts the parts together.
 
+mod backend;
 mod cli;
 mod core;
 mod exchange;
-mod front;
-mod host;
+mod frontend;
 mod io;
 mod membership;
 mod operations;
--- a/node/src/membership/discovery.rs
+++ b/node/src/membership/discovery.rs
@@ -8,7 +8,7 @@
 //! is opened here at the start, and again whenever it ends.
 
 use crate::core::{Core, Membership};
-use crate::exchange::resume::Resume;
+use crate::exchange::session_driver::SessionDriver;
 use crate::io::clock::{Clock, Millis};
 use crate::io::connect::connect;
 use crate::io::pump;
@@ -54,7 +54,7 @@
     fetch: RefCell<Option<AbortHandle>>,
     watch: RefCell<Option<AbortHandle>>,
     /// Who else must know of form hosts, if anybody.
-    resume: RefCell<Option<Rc<Resume>>>,
+    resume: RefCell<Option<Rc<SessionDriver>>>,
     /// Who keeps the list through a restart, if anybody; and when the service was last heard of.
     keeper: RefCell<Option<Rc<dyn Keeper>>>,
     heard_at: Cell<Millis>,
@@ -93,7 +93,7 @@
     }
 
     /// Tells sessions of form hosts as well. To be called before the first list.
-    pub fn tell_sessions(&self, resume: Rc<Resume>) {
+    pub fn tell_sessions(&self, resume: Rc<SessionDriver>) {
         self.resume.replace(Some(resume));
     }
 
@@ -193,7 +193,7 @@
         }
         if let Some(resume) = self.resume.borrow().as_ref() {
             let listed = self.targets.borrow().values().map(|t| t.listed(&self.zones)).collect();
-            resume.listed(listed);
+            resume.servers_changed(listed);
         }
         let told = list.targets.iter().filter(|t| !left_out(t));
         let entries = told.map(|t| t.entry(&self.clock, &self.zones)).collect();
--- a/node/src/operations/handover.rs
+++ b/node/src/operations/handover.rs
@@ -5,7 +5,7 @@
 //! and one place to ask, and a snapshot. From then on the link tells each what the other must know.
 
 use crate::core::Core;
-use crate::exchange::{Exchange, Passed, Socket};
+use crate::exchange::{Exchange, HandedOffConnection, HandedOffSocket};
 use crate::io::clock::{Clock, Millis};
 use crate::io::descriptors::Descriptors;
 use crate::io::listener::Listener;
@@ -172,7 +172,7 @@
 /// Something to say, and the sockets that go with it, which are closed here once it is said.
 struct Said {
     word: Word,
-    sockets: Vec<Socket>,
+    sockets: Vec<HandedOffSocket>,
 }
 
 impl From<Word> for Said {
@@ -304,7 +304,7 @@
 
     fn predecessor_holds(&self, holds: Holds) {
         self.descriptors.leave(holds.descriptors);
-        self.exchange.held_elsewhere(holds.ids.clone());
+        self.exchange.set_predecessor_ids(holds.ids.clone());
         self.core.feed(Event::Elsewhere(holds.holdings.clone()));
         self.before.replace(holds);
     }
@@ -363,7 +363,7 @@
             tracing::warn!("a successor asked and did not take over");
             return;
         };
-        tracing::info!(requests = self.exchange.len(), "a successor takes clients");
+        tracing::info!(requests = self.exchange.request_count(), "a successor takes clients");
         self.serving.send_replace(false);
         let heard = |word, _: &mut Link| {
             if let Word::Maintenance { server, begins } = word {
@@ -401,12 +401,12 @@
         let (to, mut passed) = mpsc::unbounded_channel();
         loop {
             tokio::select! {
-                Some(Passed { connection, sockets }) = passed.recv() => {
+                Some(HandedOffConnection { connection, sockets }) = passed.recv() => {
                     let _ = say.send(Said { word: Word::Connection(connection), sockets: sockets.into() });
                 }
                 () = self.clock.sleep(PASS_MS) => {
                     if self.leaving.get() {
-                        self.exchange.hand_off(PASS_MOST, &to);
+                        self.exchange.hand_off_idle(PASS_MOST, &to);
                     }
                 }
             }
--- a/node/src/operations/reload.rs
+++ b/node/src/operations/reload.rs
@@ -50,7 +50,7 @@
                 }
                 // All at once: nothing can happen between these.
                 tuning.change(config.settings.follow(&tuning.now()));
-                handover.exchange.retuned();
+                handover.exchange.settings_changed();
                 handover.core.feed(Event::Settings(tuning.now().decisions.clone()));
                 handover.discovery.go_over_to(config.discovery);
                 handover.config.replace(config.text);
@@ -63,7 +63,7 @@
 
 /// Has what operators have switched on go over to new settings and keys.
 fn retune(handover: &Handover, features: Features) {
-    match (handover.exchange.resume(), features.operators.sessions, features.keys) {
+    match (handover.exchange.session_driver(), features.operators.sessions, features.keys) {
         (Some(resume), Some(sessions), Some(keys)) => {
             resume.feed(SessionEvent::Settings(sessions.settings()));
             resume.feed(SessionEvent::Keys(keys));
--- a/node/src/operations/shutdown.rs
+++ b/node/src/operations/shutdown.rs
@@ -1,6 +1,6 @@
 //! A planned end: SIGTERM.
 
-use crate::front::line::Clients;
+use crate::frontend::line::LineFrontend;
 use crate::io::clock::{Clock, Millis};
 use crate::io::descriptors::Purpose;
 use crate::io::listener::Listener;
@@ -33,7 +33,7 @@
     /// The connections, and whether there is a successor.
     pub handover: &'a Handover,
     /// Those who have not asked yet.
-    pub clients: &'a Rc<Clients>,
+    pub clients: &'a Rc<LineFrontend>,
     /// Where they come from.
     pub listener: &'a Listener,
 }
@@ -49,7 +49,7 @@
         let ending = Ending::within(self.tuning.now().longest_deadline_ms);
         let mut serving = handover.serving.subscribe();
         tracing::info!(
-            requests = handover.exchange.len(),
+            requests = handover.exchange.request_count(),
             killed_after_ms = ending.killed_at,
             "SIGTERM: serving newcomers, then moving all"
         );
@@ -63,7 +63,7 @@
             () = self.until_empty() => {}
             () = self.moving(from, until, leave_at) => {}
         }
-        tracing::info!(requests = handover.exchange.len(), openings = self.openings(), "leaving");
+        tracing::info!(requests = handover.exchange.request_count(), openings = self.openings(), "leaving");
     }
 
     /// Moves all that stand evenly between these times, ends whatever there is then, and waits until `leave_at` at
@@ -76,14 +76,14 @@
         while clock.now() < leave_at.max(answered_at + LAST_MS) {
             let left = until - clock.now();
             // Parts of a connection add up: one at least each time would move few all at once.
-            owed += exchange.standing() as f64 * if left > AGAIN_MS { AGAIN_MS / left } else { 1.0 };
-            exchange.move_some(owed as usize);
+            owed += exchange.established_count() as f64 * if left > AGAIN_MS { AGAIN_MS / left } else { 1.0 };
+            exchange.move_oldest(owed as usize);
             owed = owed.fract();
             if left <= 0.0 {
                 answered_at = answered_at.min(clock.now());
                 // Whoever still waits is owed an answer, too, and who has not asked yet must not wait to.
                 self.handover.ending.send_if_modified(|ending| !std::mem::replace(ending, true));
-                exchange.answer_all();
+                exchange.answer_all_waiting();
             }
             clock.sleep(AGAIN_MS).await;
         }
@@ -95,9 +95,9 @@
         loop {
             self.clock.sleep(AGAIN_MS).await;
             // On a machine that is behind, clients may wait to be accepted of whom the event loop has not heard.
-            let waited = *self.handover.serving.borrow() && self.clients.accept_waiting(self.listener);
+            let waited = *self.handover.serving.borrow() && self.clients.accept_pending(self.listener);
             let left = self.openings() + self.handover.descriptors.in_use(Purpose::Served);
-            if !waited && left + self.handover.exchange.len() == 0 {
+            if !waited && left + self.handover.exchange.request_count() == 0 {
                 return;
             }
         }
--- a/node/src/operations/state.rs
+++ b/node/src/operations/state.rs
@@ -159,10 +159,10 @@
     pub async fn follow(self: Rc<Self>) {
         let this = self.clone();
         tokio::task::spawn_local(async move {
-            this.parts.core.served().await;
+            this.parts.core.connection_established().await;
             // Before the list is good that is no service yet.
             while this.recovery.borrow().phase() < Phase::Listed {
-                this.parts.core.served().await;
+                this.parts.core.connection_established().await;
             }
             this.handle(Event::Served);
         });
--- a/node/src/serve.rs
+++ b/node/src/serve.rs
@@ -1,8 +1,8 @@
 //! The balancer's life as a process: it starts, alone or in the place of another, serves, and ends.
 
-use crate::exchange::resume::Resume;
-use crate::front::line as front;
-use crate::host::server;
+use crate::backend::server;
+use crate::exchange::session_driver::SessionDriver;
+use crate::frontend::line as frontend;
 use crate::io::clock::{Clock, Millis};
 use crate::io::listener::Listener;
 use crate::io::{descriptors, places};
@@ -150,7 +150,7 @@
         (Some(sessions), Some(keys)) => {
             let mut seed = [0; 32];
             getrandom::fill(&mut seed).map_err(|e| std::io::Error::other(e.to_string()))?;
-            Some(Resume::new(
+            Some(SessionDriver::new(
                 clock.clone(),
                 sessions.settings(),
                 keys,
@@ -244,7 +244,7 @@
             admin::Admin::new(clock.clone(), handover.clone(), maintenance.clone(), descriptors.clone());
         tokio::task::spawn_local(door.listen(listen(&clock, address).await?));
     }
-    let clients = Rc::new(front::Clients {
+    let clients = Rc::new(frontend::LineFrontend {
         exchange: exchange.clone(),
         clock: clock.clone(),
         openings: places::Places::new(descriptors.clone(), descriptors::Purpose::Opening),
