--- a/node/src/backend/backoff.rs
+++ b/node/src/backend/backoff.rs
@@ -1,13 +1,13 @@
-//! Growing waits between attempts at one server.
+//! Exponential backoff between attempts at one server.
 
 use crate::io::clock::Millis;
 
-/// The wait after the first failure.
-const FIRST_WAIT_MS: Millis = 25.0;
-/// No wait is longer.
-const LONGEST_WAIT_MS: Millis = 400.0;
+/// Wait after the first failure, in milliseconds.
+const INITIAL_WAIT_MS: Millis = 25.0;
+/// Maximum wait, in milliseconds.
+const MAX_WAIT_MS: Millis = 400.0;
 
-/// Waits that double from one failure to the next, up to a bound.
+/// A wait that doubles with each failure, up to a maximum.
 #[derive(Debug)]
 pub struct Backoff {
     next_ms: Millis,
@@ -15,15 +15,15 @@
 
 impl Default for Backoff {
     fn default() -> Self {
-        Self { next_ms: FIRST_WAIT_MS }
+        Self { next_ms: INITIAL_WAIT_MS }
     }
 }
 
 impl Backoff {
-    /// How long to wait after one more failure, in milliseconds.
+    /// Returns how long to wait after one more failure, in milliseconds.
     pub fn next_wait(&mut self) -> Millis {
-        let wait = self.next_ms;
-        self.next_ms = (wait * 2.0).min(LONGEST_WAIT_MS);
-        wait
+        let wait_ms = self.next_ms;
+        self.next_ms = (wait_ms * 2.0).min(MAX_WAIT_MS);
+        wait_ms
     }
 }
--- a/node/src/backend/lease_link.rs
+++ b/node/src/backend/lease_link.rs
@@ -1,4 +1,4 @@
-//! Links to keepers: one to a form host at most, each with a task that owns its socket.
+//! Links to lease replicas: at most one per server, each with a task that owns its socket.
 
 use crate::exchange::session_driver::SessionDriver;
 use crate::io::clock::{Clock, Millis};
@@ -12,58 +12,62 @@
 use std::rc::{Rc, Weak};
 use tokio::net::TcpStream;
 
-/// A link that does not stand within this time has failed.
-const LINK_MS: Millis = 500.0;
+/// Maximum time to connect and complete the handshake, in milliseconds.
+const HANDSHAKE_TIMEOUT_MS: Millis = 500.0;
 
-/// Makes a link and carries it to its end, of which it tells.
+/// Establishes a link, serves it until it ends, and reports the end to the session driver.
 pub async fn run(
-    resume: Weak<SessionDriver>,
+    session_driver: Weak<SessionDriver>,
     clock: Clock,
     server: ServerId,
     address: SocketAddr,
     owner: u64,
-    words: Rc<Between>,
+    outgoing: Rc<Between>,
     descriptor: Descriptor,
 ) {
-    let reason = match clock.within(LINK_MS, greet(&clock, address, owner)).await {
-        None => "no answer in time".to_owned(),
+    let reason = match clock.within(HANDSHAKE_TIMEOUT_MS, handshake(&clock, address, owner)).await {
+        None => "handshake timed out".to_owned(),
         Some(Err(reason)) => reason,
         Some(Ok((stream, incarnation, frames))) => {
-            if let Some(resume) = resume.upgrade() {
-                resume.feed(Event::LinkUp { server, incarnation });
+            if let Some(session_driver) = session_driver.upgrade() {
+                session_driver.feed(Event::LinkUp { server, incarnation });
             }
             tokio::select! {
-                reason = hear(&resume, server, &stream, frames) => reason,
-                reason = say(&stream, words) => reason,
+                reason = read_replies(&session_driver, server, &stream, frames) => reason,
+                reason = write_calls(&stream, outgoing) => reason,
             }
         }
     };
     drop(descriptor);
-    if let Some(resume) = resume.upgrade() {
+    if let Some(session_driver) = session_driver.upgrade() {
         tracing::debug!(event = "link_ended", server = server.0, reason);
-        resume.link_ended(server);
+        session_driver.link_ended(server);
     }
 }
 
-async fn greet(clock: &Clock, address: SocketAddr, owner: u64) -> Result<(TcpStream, u64, Frames), String> {
-    let stream = connect(clock, address, LINK_MS).await.map_err(|e| e.to_string())?;
+async fn handshake(
+    clock: &Clock,
+    address: SocketAddr,
+    owner: u64,
+) -> Result<(TcpStream, u64, Frames), String> {
+    let stream = connect(clock, address, HANDSHAKE_TIMEOUT_MS).await.map_err(|e| e.to_string())?;
     let _ = stream.set_nodelay(true);
     pump::write_all(&stream, keep::hello(owner).as_bytes()).await.map_err(|e| e.to_string())?;
     let mut frames = Frames::default();
     loop {
         if let Some(line) = frames.line() {
-            let incarnation = keep::read_welcome(&line).ok_or("it is no keeper")?;
+            let incarnation = keep::read_welcome(&line).ok_or("the peer is not a lease replica")?;
             return Ok((stream, incarnation, frames));
         }
         let more = pump::read_more(&stream, frames.room()).await.map_err(|e| e.to_string())?;
         if !more || frames.flooded() {
-            return Err("it is no keeper".into());
+            return Err("the peer is not a lease replica".into());
         }
     }
 }
 
-async fn hear(
-    resume: &Weak<SessionDriver>,
+async fn read_replies(
+    session_driver: &Weak<SessionDriver>,
     server: ServerId,
     stream: &TcpStream,
     mut frames: Frames,
@@ -72,8 +76,10 @@
         loop {
             match frames.next_frame::<Reply>() {
                 Ok(Some(reply)) => {
-                    let Some(resume) = resume.upgrade() else { return "the end".into() };
-                    resume.feed(Event::Heard { server, reply });
+                    let Some(session_driver) = session_driver.upgrade() else {
+                        return "the process is shutting down".into();
+                    };
+                    session_driver.feed(Event::Heard { server, reply });
                 }
                 Ok(None) => break,
                 Err(error) => return error.to_string(),
@@ -87,10 +93,10 @@
     }
 }
 
-async fn say(stream: &TcpStream, words: Rc<Between>) -> String {
+async fn write_calls(stream: &TcpStream, outgoing: Rc<Between>) -> String {
     loop {
-        words.some().await;
-        let bytes = words.take();
+        outgoing.some().await;
+        let bytes = outgoing.take();
         if let Err(error) = pump::write_all(stream, &bytes).await {
             return error.to_string();
         }
--- a/node/src/backend/load_line.rs
+++ b/node/src/backend/load_line.rs
@@ -1,100 +1,119 @@
-//! What `LOAD X` means. Where form hosts tell the load of a connection and how long messages take there,
-//! they have one word for both: which of them a line is shows by its figure and by when it comes.
+//! Tells the two meanings of a `LOAD X` line apart. Servers that report both the load of a connection and
+//! the delay of its messages use the same line for both; the meaning has to be inferred from the value
+//! and from when the line arrives.
 //!
-//! A load is told as soon as a connection stands and when it changes, in microseconds of work a second:
-//! thousands, seldom under one. A delay is told once a second while it is over a third of the shortest aim,
-//! and once more when it is back under: tens to some thousands of milliseconds, falling to less than
-//! that third at the end.
+//! A load is reported as soon as a connection is established and whenever it changes, in microseconds of
+//! work per second: thousands, seldom less than one thousand. A delay is reported once a second while it
+//! is above a third of the strictest message goal, and once more when it falls below that: tens to some
+//! thousands of milliseconds, and less than that third in the last report.
 
 use crate::io::clock::Millis;
 
-/// More than this, in ms, is no delay: a host drops connections before so much is piled up.
-const MOST_DELAY_MS: f64 = 5_000.0;
-/// A first figure within so many ms after a connection stands is its load.
-const FIRST_MS: Millis = 200.0;
-/// Delays are told so many ms apart, give or take some.
-const APART_MS: Millis = 1_000.0;
-const GIVE_MS: Millis = 6.0;
-/// A load that falls to less than this part of what it was would be no usual change.
-const FALL: f64 = 1.0 / 6.0;
-/// A first figure that comes late is a load if it is more than this.
-const LIKELY_LOAD: f64 = 3_000.0;
+/// A larger value is never a delay: servers drop connections before delays grow that long.
+const MAX_DELAY_MS: f64 = 5_000.0;
+/// A first value that arrives within this time after the connection is established is its load.
+const INITIAL_LOAD_WINDOW_MS: Millis = 200.0;
+/// Interval between two delay reports of a server, in milliseconds.
+const DELAY_REPORT_INTERVAL_MS: Millis = 1_000.0;
+/// Tolerated deviation from that interval, in milliseconds.
+const REPORT_JITTER_MS: Millis = 6.0;
+/// A load is not expected to fall below this share of its previous value at once.
+const MIN_LOAD_CHANGE_RATIO: f64 = 1.0 / 6.0;
+/// A first value that arrives late is a load if it is at least this, in microseconds of work per second.
+const MIN_LATE_INITIAL_LOAD: f64 = 3_000.0;
 
-/// What is known when a line comes.
+/// What is known about the connection and its server when a line arrives.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Seen {
-    /// Now.
+pub struct LineContext {
+    /// The current time.
     pub now: Millis,
-    /// When the connection began to stand.
-    pub stood_at: Millis,
-    /// Its load as told before; 0 if none was.
-    pub load: f64,
-    /// When the form host last told a delay, or what may be one, on any connection.
-    pub delay_at: Option<Millis>,
-    /// Delays over this are told, in ms.
-    pub bound: Millis,
+    /// When the connection was established.
+    pub established_at: Millis,
+    /// The load of the connection that was last reported; 0 if there was no report yet.
+    pub previous_load: f64,
+    /// When the server last reported a delay, or a value that may be one, on any connection.
+    pub delay_reported_at: Option<Millis>,
+    /// Delays above this are reported, in milliseconds.
+    pub report_threshold_ms: Millis,
 }
 
-/// What a figure is.
+/// What the value of a `LOAD` line is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Meaning {
-    /// A load, in microseconds of work a second.
+pub enum LineKind {
+    /// The load of the connection, in microseconds of work per second.
     Load,
-    /// A delay, in ms.
+    /// The delay of a message, in milliseconds.
     Delay,
-    /// It may be the first delay or a small load: taken for neither, until another comes when a delay
-    /// would. Read for a delay, small loads made sound hosts look hot (real sockets: 0.84 -> 0.40).
-    Perhaps,
+    /// The first delay or a small load. The value is ignored until another one arrives when the next delay
+    /// report is due: reading small loads as delays made healthy servers look overloaded (the score on
+    /// real sockets fell from 0.84 to 0.40).
+    Ambiguous,
 }
 
-/// What `LOAD X` means.
+/// Classifies the value of a `LOAD` line.
 #[must_use]
-pub fn meaning(x: f64, seen: &Seen) -> Meaning {
-    if x > MOST_DELAY_MS {
-        return Meaning::Load;
+pub fn classify(value: f64, context: &LineContext) -> LineKind {
+    if value > MAX_DELAY_MS {
+        return LineKind::Load;
     }
-    let due = |at: Millis| (seen.now - at - APART_MS).abs() < GIVE_MS;
-    if seen.delay_at.is_some_and(due) {
-        return Meaning::Delay;
+    let report_due =
+        |reported_at: Millis| (context.now - reported_at - DELAY_REPORT_INTERVAL_MS).abs() < REPORT_JITTER_MS;
+    if context.delay_reported_at.is_some_and(report_due) {
+        return LineKind::Delay;
     }
-    let small = if seen.load > 0.0 {
-        x < seen.load * FALL
+    let small = if context.previous_load > 0.0 {
+        value < context.previous_load * MIN_LOAD_CHANGE_RATIO
     } else {
-        seen.now - seen.stood_at > FIRST_MS && x < LIKELY_LOAD
+        context.now - context.established_at > INITIAL_LOAD_WINDOW_MS && value < MIN_LATE_INITIAL_LOAD
     };
-    if small || x < seen.bound { Meaning::Perhaps } else { Meaning::Load }
+    if small || value < context.report_threshold_ms { LineKind::Ambiguous } else { LineKind::Load }
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    const SEEN: Seen = Seen { now: 10_000.0, stood_at: 2_000.0, load: 17_000.0, delay_at: None, bound: 20.0 };
+    const CONTEXT: LineContext = LineContext {
+        now: 10_000.0,
+        established_at: 2_000.0,
+        previous_load: 17_000.0,
+        delay_reported_at: None,
+        report_threshold_ms: 20.0,
+    };
 
     #[test]
-    fn a_figure_far_under_the_load_told_before_may_be_a_delay() {
-        assert_eq!(meaning(42.6, &SEEN), Meaning::Perhaps);
-        assert_eq!(meaning(1_420.0, &SEEN), Meaning::Perhaps);
-        assert_eq!(meaning(6_900.0, &SEEN), Meaning::Load);
-        assert_eq!(meaning(180_947.2, &SEEN), Meaning::Load);
-        assert_eq!(meaning(400.0, &Seen { load: 566.0, ..SEEN }), Meaning::Load);
-        assert_eq!(meaning(11.5, &Seen { load: 30.0, ..SEEN }), Meaning::Perhaps);
+    fn a_value_far_below_the_previous_load_is_ambiguous() {
+        assert_eq!(classify(42.6, &CONTEXT), LineKind::Ambiguous);
+        assert_eq!(classify(1_420.0, &CONTEXT), LineKind::Ambiguous);
+        assert_eq!(classify(6_900.0, &CONTEXT), LineKind::Load);
+        assert_eq!(classify(180_947.2, &CONTEXT), LineKind::Load);
+        assert_eq!(classify(400.0, &LineContext { previous_load: 566.0, ..CONTEXT }), LineKind::Load);
+        assert_eq!(classify(11.5, &LineContext { previous_load: 30.0, ..CONTEXT }), LineKind::Ambiguous);
     }
 
     #[test]
-    fn a_second_after_the_last_comes_the_next_delay_on_whichever_connection() {
-        let small = Seen { load: 900.0, ..SEEN };
-        assert_eq!(meaning(482.7, &small), Meaning::Load);
-        assert_eq!(meaning(482.7, &Seen { delay_at: Some(8_999.0), ..small }), Meaning::Delay);
-        assert_eq!(meaning(482.7, &Seen { delay_at: Some(9_400.0), ..small }), Meaning::Load);
-        assert_eq!(meaning(20_000.0, &Seen { delay_at: Some(9_000.0), ..small }), Meaning::Load);
+    fn a_value_one_second_after_the_last_delay_of_the_server_is_a_delay() {
+        let small = LineContext { previous_load: 900.0, ..CONTEXT };
+        assert_eq!(classify(482.7, &small), LineKind::Load);
+        assert_eq!(
+            classify(482.7, &LineContext { delay_reported_at: Some(8_999.0), ..small }),
+            LineKind::Delay
+        );
+        assert_eq!(
+            classify(482.7, &LineContext { delay_reported_at: Some(9_400.0), ..small }),
+            LineKind::Load
+        );
+        assert_eq!(
+            classify(20_000.0, &LineContext { delay_reported_at: Some(9_000.0), ..small }),
+            LineKind::Load
+        );
     }
 
     #[test]
-    fn the_first_figure_of_a_connection_is_its_load_unless_it_comes_late_and_is_small() {
-        let fresh = Seen { load: 0.0, stood_at: 9_990.0, ..SEEN };
-        assert_eq!(meaning(303.4, &fresh), Meaning::Load);
-        assert_eq!(meaning(516.0, &Seen { stood_at: 9_000.0, ..fresh }), Meaning::Perhaps);
-        assert_eq!(meaning(6_980.0, &Seen { stood_at: 9_000.0, ..fresh }), Meaning::Load);
+    fn the_first_value_of_a_connection_is_its_load_unless_it_is_late_and_small() {
+        let fresh = LineContext { previous_load: 0.0, established_at: 9_990.0, ..CONTEXT };
+        assert_eq!(classify(303.4, &fresh), LineKind::Load);
+        assert_eq!(classify(516.0, &LineContext { established_at: 9_000.0, ..fresh }), LineKind::Ambiguous);
+        assert_eq!(classify(6_980.0, &LineContext { established_at: 9_000.0, ..fresh }), LineKind::Load);
     }
 }
--- a/node/src/backend/message_delay.rs
+++ b/node/src/backend/message_delay.rs
@@ -1,154 +1,159 @@
-//! How long messages take at form hosts, measured by the lines of clients and their answers.
+//! Measures message delays at servers: the time between a client's line and the server's answer.
 
 use crate::io::clock::Millis;
 use marllink::{RequestId, ServerId};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Lines of one connection that are waited for at most; who sends more without an answer has the
-/// later ones not measured.
-const MOST_WAITING: usize = 64;
-/// Samples kept of one form host: its last second or so.
-const MOST_SAMPLES: usize = 64;
-/// A sample speaks of the present for so long, in milliseconds: clients send a line every 2 s.
-const FRESH_MS: Millis = 1_000.0;
+/// Maximum number of unanswered lines that are tracked per connection; further lines are not measured.
+const MAX_UNANSWERED_LINES: usize = 64;
+/// Maximum number of samples that are kept per server: about one second's worth.
+const MAX_SAMPLES: usize = 64;
+/// Age up to which a sample counts, in milliseconds; clients send a line every 2 s.
+const MAX_SAMPLE_AGE_MS: Millis = 1_000.0;
 
-/// The lines of one connection that have no answer yet.
+/// The lines of one connection that the server has not answered yet.
 #[derive(Debug, Default)]
-pub struct Waiting {
-    sent: VecDeque<Millis>,
-    heard: Millis,
+pub struct UnansweredLines {
+    sent_at: VecDeque<Millis>,
+    received_at: Millis,
 }
 
-impl Waiting {
-    /// The client has sent a line.
-    pub fn sent(&mut self, now: Millis) {
-        if self.sent.len() < MOST_WAITING {
-            self.sent.push_back(now);
+impl UnansweredLines {
+    /// Records that the client sent a line.
+    pub fn line_sent(&mut self, now: Millis) {
+        if self.sent_at.len() < MAX_UNANSWERED_LINES {
+            self.sent_at.push_back(now);
         }
     }
 
-    /// The form host has sent an answer: how long it took.
-    pub fn answered(&mut self, now: Millis) -> Option<Millis> {
-        self.heard = now;
-        self.sent.pop_front().map(|sent| now - sent)
+    /// Records that the server sent an answer. Returns how long the answer took.
+    pub fn answer_received(&mut self, now: Millis) -> Option<Millis> {
+        self.received_at = now;
+        self.sent_at.pop_front().map(|sent_at| now - sent_at)
     }
 
-    /// The form host has sent something.
-    pub fn heard(&mut self, now: Millis) {
-        self.heard = now;
+    /// Records that the server sent a line that answers none.
+    pub fn line_received(&mut self, now: Millis) {
+        self.received_at = now;
     }
 
-    /// For how long the form host has owed an answer and sent nothing.
-    pub fn silent_for(&self, now: Millis) -> Millis {
-        self.sent.front().map_or(0.0, |sent| now - sent.max(self.heard))
+    /// Returns how long the server has owed an answer without sending anything; 0 if it owes none.
+    pub fn unresponsive_ms(&self, now: Millis) -> Millis {
+        self.sent_at.front().map_or(0.0, |sent_at| now - sent_at.max(self.received_at))
     }
 
-    /// True if no line waits for its answer.
-    pub fn none(&self) -> bool {
-        self.sent.is_empty()
+    /// Returns true if no line waits for its answer.
+    pub fn is_empty(&self) -> bool {
+        self.sent_at.is_empty()
     }
 
-    /// For how long the oldest line has had no answer.
-    pub fn oldest(&self, now: Millis) -> Option<Millis> {
-        self.sent.front().map(|sent| now - sent)
+    /// Returns how long the oldest line has waited for its answer.
+    pub fn oldest_wait_ms(&self, now: Millis) -> Option<Millis> {
+        self.sent_at.front().map(|sent_at| now - sent_at)
     }
 }
 
-/// One form host's recent delays.
+/// The recent message delays of one server.
 #[derive(Debug, Default)]
-struct Host {
-    /// When, how long, and on whose connection.
+struct ServerDelays {
+    /// When a round trip ended, how long it took, and on which request's connection.
     samples: VecDeque<(Millis, Millis, RequestId)>,
-    /// The shortest round trip seen: the way there and back, and a message at an idle host.
-    shortest: Option<Millis>,
-    /// The last note told of a delay over the bound.
-    over: bool,
-    /// When the host itself last told a delay.
-    told_at: Option<Millis>,
+    /// The shortest round trip seen: the network both ways, and a message at an idle server.
+    min_round_trip_ms: Option<Millis>,
+    /// The last report to the balancer was above the threshold.
+    above_threshold: bool,
+    /// When the server itself last reported a delay.
+    server_reported_at: Option<Millis>,
 }
 
-/// Delays by form host.
+/// Message delays by server.
 #[derive(Debug)]
-pub struct Delays {
-    /// Delays over this are told.
-    bound: Millis,
-    hosts: BTreeMap<ServerId, Host>,
+pub struct MessageDelays {
+    /// Delays above this are reported, in milliseconds.
+    report_threshold_ms: Millis,
+    servers: BTreeMap<ServerId, ServerDelays>,
 }
 
-impl Delays {
-    /// Delays are told while they are over a third of the strictest aim for a message.
-    pub fn new(strictest_aim_ms: Millis) -> Self {
-        Self { bound: strictest_aim_ms / 3.0, hosts: BTreeMap::new() }
+impl MessageDelays {
+    /// Delays are reported while they are above a third of the strictest message goal.
+    pub fn new(strictest_goal_ms: Millis) -> Self {
+        Self { report_threshold_ms: strictest_goal_ms / 3.0, servers: BTreeMap::new() }
     }
 
-    /// Delays over this are told.
-    pub fn bound(&self) -> Millis {
-        self.bound
+    /// Returns the delay above which delays are reported, in milliseconds.
+    pub fn report_threshold_ms(&self) -> Millis {
+        self.report_threshold_ms
     }
 
-    /// A form host has told a delay itself.
-    pub fn told(&mut self, server: ServerId, now: Millis) {
-        self.hosts.entry(server).or_default().told_at = Some(now);
+    /// Records that a server reported a delay itself.
+    pub fn record_server_report(&mut self, server: ServerId, now: Millis) {
+        self.servers.entry(server).or_default().server_reported_at = Some(now);
     }
 
-    /// When it last did.
-    pub fn told_at(&self, server: ServerId) -> Option<Millis> {
-        self.hosts.get(&server)?.told_at
+    /// Returns when the server last reported a delay itself.
+    pub fn server_reported_at(&self, server: ServerId) -> Option<Millis> {
+        self.servers.get(&server)?.server_reported_at
     }
 
-    /// The aim has changed.
-    pub fn tell_over(&mut self, strictest_aim_ms: Millis) {
-        self.bound = strictest_aim_ms / 3.0;
+    /// Applies a changed message goal.
+    pub fn set_strictest_goal(&mut self, strictest_goal_ms: Millis) {
+        self.report_threshold_ms = strictest_goal_ms / 3.0;
     }
 
-    /// A message took so long on this connection.
-    pub fn sample(&mut self, now: Millis, server: ServerId, request: RequestId, took: Millis) {
-        let host = self.hosts.entry(server).or_default();
-        host.shortest = Some(host.shortest.map_or(took, |s| s.min(took)));
-        host.samples.push_back((now, took, request));
-        if host.samples.len() > MOST_SAMPLES {
-            host.samples.pop_front();
+    /// Records the round trip of a message on a request's connection.
+    pub fn add_sample(&mut self, now: Millis, server: ServerId, request: RequestId, round_trip_ms: Millis) {
+        let delays = self.servers.entry(server).or_default();
+        delays.min_round_trip_ms =
+            Some(delays.min_round_trip_ms.map_or(round_trip_ms, |shortest| shortest.min(round_trip_ms)));
+        delays.samples.push_back((now, round_trip_ms, request));
+        if delays.samples.len() > MAX_SAMPLES {
+            delays.samples.pop_front();
         }
     }
 
-    /// What is to be told now, to be asked for once a second: for each form host at most one
-    /// connection and the delay there. `waiting` holds lines that have had no answer for so long.
-    pub fn notes(
+    /// Returns the delays to report to the balancer now; to be called once a second. There is at most one
+    /// report per server: the connection with the median delay, and that delay. `waiting` yields the
+    /// lines that are still unanswered, and for how long.
+    pub fn due_reports(
         &mut self,
         now: Millis,
         waiting: impl Iterator<Item = (ServerId, RequestId, Millis)>,
         is_open: impl Fn(RequestId) -> bool,
     ) -> Vec<(RequestId, Millis)> {
         let mut recent: BTreeMap<ServerId, Vec<(Millis, RequestId)>> = BTreeMap::new();
-        for (server, host) in &mut self.hosts {
-            while host.samples.front().is_some_and(|(at, ..)| now - at >= FRESH_MS) {
-                host.samples.pop_front();
+        for (server, delays) in &mut self.servers {
+            while delays.samples.front().is_some_and(|(at, ..)| now - at >= MAX_SAMPLE_AGE_MS) {
+                delays.samples.pop_front();
             }
-            let shortest = host.shortest.unwrap_or_default();
-            let samples = host.samples.iter().filter(|(.., id)| is_open(*id));
-            recent.entry(*server).or_default().extend(samples.map(|(_, took, id)| (took - shortest, *id)));
+            let shortest_ms = delays.min_round_trip_ms.unwrap_or_default();
+            let samples = delays.samples.iter().filter(|(.., request)| is_open(*request));
+            recent
+                .entry(*server)
+                .or_default()
+                .extend(samples.map(|(_, round_trip_ms, request)| (round_trip_ms - shortest_ms, *request)));
         }
-        // A line that waits longer than the bound says as much as an answer that came late.
-        for (server, request, waited) in waiting {
-            let shortest = self.hosts.get(&server).and_then(|h| h.shortest).unwrap_or_default();
-            if waited - shortest > self.bound {
-                recent.entry(server).or_default().push((waited - shortest, request));
+        // A line that has waited longer than the threshold counts like an answer that came late.
+        for (server, request, waited_ms) in waiting {
+            let shortest_ms =
+                self.servers.get(&server).and_then(|delays| delays.min_round_trip_ms).unwrap_or_default();
+            if waited_ms - shortest_ms > self.report_threshold_ms {
+                recent.entry(server).or_default().push((waited_ms - shortest_ms, request));
             }
         }
-        let mut notes = Vec::new();
+        let mut reports = Vec::new();
         for (server, mut delays) in recent {
             if delays.is_empty() {
                 continue;
             }
             delays.sort_unstable_by(|a, b| a.0.total_cmp(&b.0));
-            let (delay, request) = delays[delays.len() / 2];
-            let host = self.hosts.entry(server).or_default();
-            if delay > self.bound || host.over {
-                notes.push((request, delay));
-                host.over = delay > self.bound;
+            let (delay_ms, request) = delays[delays.len() / 2];
+            let server_delays = self.servers.entry(server).or_default();
+            if delay_ms > self.report_threshold_ms || server_delays.above_threshold {
+                reports.push((request, delay_ms));
+                server_delays.above_threshold = delay_ms > self.report_threshold_ms;
             }
         }
-        notes
+        reports
     }
 }
 
@@ -156,40 +161,41 @@
 mod tests {
     use super::*;
 
-    const HOST: ServerId = ServerId(1);
+    const SERVER: ServerId = ServerId(1);
 
     #[test]
-    fn a_delay_over_a_third_of_the_aim_is_told_each_second_and_once_when_it_is_back_under() {
-        let mut delays = Delays::new(60.0);
-        let mut told = Vec::new();
-        for (second, took) in [12.0, 20.0, 50.0, 60.0, 15.0, 15.0].into_iter().enumerate() {
+    fn a_delay_above_a_third_of_the_goal_is_reported_each_second_and_once_after_it_falls_below() {
+        let mut delays = MessageDelays::new(60.0);
+        let mut reported = Vec::new();
+        for (second, round_trip_ms) in [12.0, 20.0, 50.0, 60.0, 15.0, 15.0].into_iter().enumerate() {
             let now = second as f64 * 1_000.0;
             for id in 1..=3 {
-                delays.sample(now, HOST, RequestId(id), took);
+                delays.add_sample(now, SERVER, RequestId(id), round_trip_ms);
             }
-            told.push(delays.notes(now, std::iter::empty(), |_| true).pop().map(|(_, delay)| delay));
+            reported
+                .push(delays.due_reports(now, std::iter::empty(), |_| true).pop().map(|(_, delay)| delay));
         }
-        assert_eq!(told, [None, None, Some(38.0), Some(48.0), Some(3.0), None]);
+        assert_eq!(reported, [None, None, Some(38.0), Some(48.0), Some(3.0), None]);
     }
 
     #[test]
-    fn a_line_without_an_answer_counts_and_a_connection_that_is_over_is_not_named() {
-        let mut delays = Delays::new(60.0);
-        delays.sample(0.0, HOST, RequestId(1), 10.0);
-        let waiting = [(HOST, RequestId(2), 500.0)];
-        let notes = delays.notes(2_000.0, waiting.into_iter(), |id| id == RequestId(2));
-        assert_eq!(notes, [(RequestId(2), 490.0)]);
+    fn an_unanswered_line_counts_and_a_closed_connection_is_not_reported() {
+        let mut delays = MessageDelays::new(60.0);
+        delays.add_sample(0.0, SERVER, RequestId(1), 10.0);
+        let waiting = [(SERVER, RequestId(2), 500.0)];
+        let reports = delays.due_reports(2_000.0, waiting.into_iter(), |id| id == RequestId(2));
+        assert_eq!(reports, [(RequestId(2), 490.0)]);
     }
 
     #[test]
-    fn silence_is_counted_from_the_first_line_without_an_answer() {
-        let mut waiting = Waiting::default();
-        assert_eq!(waiting.silent_for(9_000.0), 0.0);
-        waiting.sent(10_000.0);
-        waiting.sent(12_000.0);
-        assert_eq!(waiting.silent_for(14_000.0), 4_000.0);
-        assert_eq!(waiting.answered(14_100.0), Some(4_100.0));
-        assert_eq!(waiting.silent_for(15_000.0), 900.0);
-        assert_eq!(waiting.oldest(15_000.0), Some(3_000.0));
+    fn unresponsive_time_starts_at_the_oldest_unanswered_line_or_the_last_line_received() {
+        let mut unanswered = UnansweredLines::default();
+        assert_eq!(unanswered.unresponsive_ms(9_000.0), 0.0);
+        unanswered.line_sent(10_000.0);
+        unanswered.line_sent(12_000.0);
+        assert_eq!(unanswered.unresponsive_ms(14_000.0), 4_000.0);
+        assert_eq!(unanswered.answer_received(14_100.0), Some(4_100.0));
+        assert_eq!(unanswered.unresponsive_ms(15_000.0), 900.0);
+        assert_eq!(unanswered.oldest_wait_ms(15_000.0), Some(3_000.0));
     }
 }
--- a/node/src/backend/mod.rs
+++ b/node/src/backend/mod.rs
@@ -1,4 +1,4 @@
-//! The side of form hosts.
+//! The server side: connections and lease links to servers, load probes, and message delays.
 
 pub mod backoff;
 pub mod lease_link;
--- a/node/src/backend/server.rs
+++ b/node/src/backend/server.rs
@@ -1,8 +1,8 @@
-//! The server side: makes attempts and probes at form hosts. Knows nothing of clients.
+//! The server side: makes attempts and load probes at servers. Independent of the client side.
 
 use crate::backend::backoff::Backoff;
-use crate::exchange::record::{AttemptCause, AttemptEnd, Broken};
-use crate::exchange::{Attempt, AttemptHandle, Order, Pipe, Probe};
+use crate::exchange::record::{AttemptCause, AttemptEnd, ConnectionLoss};
+use crate::exchange::{Attempt, AttemptHandle, BackendCommand, Pipe, Probe};
 use crate::io::clock::{Clock, Millis};
 use crate::io::connect::{ConnectError, connect};
 use crate::io::descriptors::Descriptor;
@@ -19,60 +19,62 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-/// When one direction has ended, the other has so long to end as well.
+/// Maximum time for one direction of a connection to end after the other, in milliseconds.
 const LINGER_MS: Millis = 30_000.0;
-/// A probe that has no answer by then has failed.
-const PROBE_MS: Millis = 1_000.0;
-/// What a form host still says that nobody waits for is dropped in pieces of this size.
-const DROPPED: usize = 16 * 1024;
+/// Maximum time for the answer to a load probe, in milliseconds.
+const PROBE_TIMEOUT_MS: Millis = 1_000.0;
+/// Bytes of a server that nothing waits for are discarded in chunks of this size.
+const DISCARD_CHUNK_BYTES: usize = 16 * 1024;
 
-/// What is needed to establish a connection.
-struct SetUp {
+/// The parameters of a connection that is to be established.
+struct ConnectionSetup {
     address: SocketAddr,
     opening: Rc<Opening>,
-    held_as: Option<String>,
-    /// When the client's time is over.
-    until: Millis,
+    session_ballot: Option<String>,
+    /// When the attempt times out.
+    deadline: Millis,
 }
 
 /// The server side.
 #[derive(Clone)]
-pub struct Servers {
-    /// For the time limits.
+pub struct Backend {
+    /// The clock for timeouts.
     pub clock: Clock,
-    /// For the time to connect in, and whether probes are answered with a load report.
+    /// The settings in force: the connect timeout, and whether servers answer probes with a load report.
     pub tuning: Rc<Tuning>,
 }
 
-impl Servers {
-    /// Carries out orders for ever.
-    pub async fn run(self, mut orders: mpsc::UnboundedReceiver<Order>) {
-        while let Some(order) = orders.recv().await {
-            let servers = self.clone();
+impl Backend {
+    /// Executes commands forever.
+    pub async fn run(self, mut commands: mpsc::UnboundedReceiver<BackendCommand>) {
+        while let Some(command) = commands.recv().await {
+            let backend = self.clone();
             tokio::task::spawn_local(async move {
-                match order {
-                    Order::Attempt(attempt) => servers.attempt(attempt).await,
-                    Order::Standing { socket, pipe, handle, descriptor } => {
+                match command {
+                    BackendCommand::Attempt(attempt) => backend.make_attempt(attempt).await,
+                    BackendCommand::Established { socket, pipe, handle, descriptor } => {
                         let end = tokio::select! {
                             biased;
                             outcome = handle.cancelled() => AttemptEnd::cancelled(outcome),
-                            end = servers.stand(&socket, &pipe, &handle) => end,
+                            end = backend.relay(&socket, &pipe, &handle) => end,
                         };
-                        servers.part(socket, descriptor, &pipe, handle, end).await;
+                        backend.release(socket, descriptor, &pipe, handle, end).await;
                     }
-                    Order::Probe(probe) => servers.probe(probe).await,
+                    BackendCommand::Probe(probe) => backend.send_probe(probe).await,
                 }
             });
         }
     }
 
-    /// Makes an attempt and, if it stands, carries its connection to the end.
+    /// Makes an attempt and, if it succeeds, relays its connection until the end.
     ///
-    /// Nobody else can try again for a connection that is restored, as it belongs to this server: that is
-    /// done here, until its client's time is over.
-    async fn attempt(&self, attempt: Attempt) {
-        let Attempt { address, opening, held_as, wait_ms, restores, pipe, handle, descriptor } = attempt;
-        let setup = SetUp { address, opening, held_as, until: self.clock.now() + wait_ms };
+    /// A connection that is restored belongs to this server, so the balancer cannot retry it elsewhere:
+    /// retries are made here until the attempt times out.
+    async fn make_attempt(&self, attempt: Attempt) {
+        let Attempt { address, opening, session_ballot, wait_ms, restore_retry, pipe, handle, descriptor } =
+            attempt;
+        let setup =
+            ConnectionSetup { address, opening, session_ballot, deadline: self.clock.now() + wait_ms };
         let mut backoff = Backoff::default();
         let established = loop {
             let end = match self.establish(&setup, &pipe, &handle).await {
@@ -80,11 +82,11 @@
                 Err(end) => end,
             };
             let wait_ms = backoff.next_wait();
-            let may_repeat = restores.is_some_and(|restores| restores.may_repeat(end.outcome));
-            if !may_repeat || self.clock.now() + wait_ms >= setup.until {
+            let may_repeat = restore_retry.is_some_and(|policy| policy.may_repeat(end.outcome));
+            if !may_repeat || self.clock.now() + wait_ms >= setup.deadline {
                 break Err(end);
             }
-            handle.failed_once(end);
+            handle.record_failed_try(end);
             tokio::select! {
                 biased;
                 outcome = handle.cancelled() => break Err(AttemptEnd::cancelled(outcome)),
@@ -96,9 +98,9 @@
                 let end = tokio::select! {
                     biased;
                     outcome = handle.cancelled() => AttemptEnd::cancelled(outcome),
-                    end = self.stand(&stream, &pipe, &handle) => end,
+                    end = self.relay(&stream, &pipe, &handle) => end,
                 };
-                self.part(stream, descriptor, &pipe, handle, end).await;
+                self.release(stream, descriptor, &pipe, handle, end).await;
             }
             Err(end) => {
                 drop(descriptor);
@@ -107,18 +109,18 @@
         }
     }
 
-    /// Connects, sends the first line and waits for the answer. The socket is closed again if that fails.
+    /// Connects, sends the first line and waits for the answer. The socket is closed if that fails.
     async fn establish(
         &self,
-        setup: &SetUp,
+        setup: &ConnectionSetup,
         pipe: &Pipe,
         handle: &AttemptHandle,
     ) -> Result<TcpStream, AttemptEnd> {
         let connecting = async {
-            let left = setup.until - self.clock.now();
-            let stream = self.connect(setup.address, left, || handle.no_connection()).await;
-            // Its client may have left in the same instant: whatever has happened by now is heard of before the first
-            // byte.
+            let left_ms = setup.deadline - self.clock.now();
+            let stream = self.connect(setup.address, left_ms, || handle.no_connection()).await;
+            // The client may have left at the same moment: pending events are handled before the first byte
+            // is sent.
             tokio::task::yield_now().await;
             stream
         };
@@ -133,47 +135,48 @@
                 AttemptEnd::new(outcome, AttemptCause::Connect(error))
             })?,
         };
-        // What was open before goes to its form host, draining or not.
-        if setup.opening.at.is_none() && !handle.may_begin() {
+        // A restored connection goes back to its server even if that is draining.
+        if setup.opening.at.is_none() && !handle.may_start() {
             return Err(AttemptEnd::new(Outcome::NotSent, AttemptCause::ServerDraining));
         }
-        let left = setup.until - self.clock.now();
-        let head = setup.opening.for_host(left, setup.held_as.as_deref());
+        let left_ms = setup.deadline - self.clock.now();
+        let head = setup.opening.for_host(left_ms, setup.session_ballot.as_deref());
         let answered = tokio::select! {
             biased;
             outcome = handle.cancelled() => Err(AttemptEnd::cancelled(outcome)),
-            answered = self.set_up(&stream, &head, left, pipe, handle) => answered,
+            answered = self.send_opening(&stream, &head, left_ms, pipe, handle) => answered,
         };
         match answered {
             Ok(()) => Ok(stream),
             Err(end) => {
-                self.finish_socket(&stream, pipe, handle).await;
+                self.prepare_close(&stream, pipe, handle).await;
                 Err(end)
             }
         }
     }
 
-    /// Connects within the usual time, or less; `silent` is called if nothing came back in all of the usual time.
+    /// Connects within the configured timeout, or `wait_ms` if that is less. Calls `on_no_response` if the
+    /// server did not respond within the whole configured timeout.
     async fn connect(
         &self,
         address: SocketAddr,
         wait_ms: Millis,
-        silent: impl FnOnce(),
+        on_no_response: impl FnOnce(),
     ) -> Result<TcpStream, ConnectError> {
-        let usual = self.tuning.now().decisions.limits.connect_timeout_ms;
-        let connected = connect(&self.clock, address, usual.min(wait_ms)).await;
-        // One that was not given the usual time tells nothing.
-        if matches!(connected, Err(ConnectError::TimedOut)) && wait_ms >= usual {
-            silent();
+        let timeout_ms = self.tuning.now().decisions.limits.connect_timeout_ms;
+        let connected = connect(&self.clock, address, timeout_ms.min(wait_ms)).await;
+        // A connect that had less time says nothing about the server.
+        if matches!(connected, Err(ConnectError::TimedOut)) && wait_ms >= timeout_ms {
+            on_no_response();
         }
         let stream = connected?;
-        // Lines are short and must not wait for others.
+        // Lines are short and must not be delayed by Nagle's algorithm.
         let _ = stream.set_nodelay(true);
         Ok(stream)
     }
 
     /// Sends the first line and waits for the answer.
-    async fn set_up(
+    async fn send_opening(
         &self,
         stream: &TcpStream,
         head: &[u8],
@@ -181,8 +184,8 @@
         pipe: &Pipe,
         handle: &AttemptHandle,
     ) -> Result<(), AttemptEnd> {
-        let until = self.clock.now() + wait_ms;
-        // A line whose last byte was not written has not been heard.
+        let deadline = self.clock.now() + wait_ms;
+        // If the last byte of the line was not written, the server has not seen the request.
         match self.clock.within(wait_ms, pump::write_all(stream, head)).await {
             Some(Ok(())) => {}
             Some(Err(error)) => {
@@ -190,47 +193,47 @@
             }
             None => return Err(AttemptEnd::new(Outcome::ConnectFailed, AttemptCause::WriteTimedOut)),
         }
-        let down = &pipe.down;
-        let left = until - self.clock.now();
-        let answer = if pipe.session.get() {
-            let silent = async {
-                self.clock.sleep(handle.asks_within()).await;
-                if handle.asks() || handle.leased() {
+        let received = &pipe.server_to_client;
+        let left_ms = deadline - self.clock.now();
+        let answer = if pipe.has_session.get() {
+            let no_lease_request = async {
+                self.clock.sleep(handle.lease_request_timeout_ms()).await;
+                if handle.awaits_lease() || handle.has_lease() {
                     std::future::pending::<()>().await;
                 }
             };
             let answer = async {
                 tokio::select! {
                     biased;
-                    line = session_answer(stream, pipe, handle) => Some(line),
-                    () = silent => None,
+                    line = read_session_answer(stream, pipe, handle) => Some(line),
+                    () = no_lease_request => None,
                 }
             };
-            self.clock.within(left, answer).await.flatten()
+            self.clock.within(left_ms, answer).await.flatten()
         } else {
-            self.clock.within(left, first_line(stream, down)).await
+            self.clock.within(left_ms, read_first_line(stream, received)).await
         };
         let line = match answer {
             Some(Ok(line)) => line,
-            // One that waits for its keepers is not to blame.
-            None if pipe.session.get() && handle.asks() => {
-                down.discard(down.held());
+            // The server waits for a lease from the replicas, so the missing answer is not its failure.
+            None if pipe.has_session.get() && handle.awaits_lease() => {
+                received.discard(received.held());
                 return Err(AttemptEnd::new(Outcome::Cancelled, AttemptCause::NoAnswer));
             }
             None => {
-                down.discard(down.held());
+                received.discard(received.held());
                 return Err(AttemptEnd::new(Outcome::TimedOut, AttemptCause::NoAnswer));
             }
-            Some(Err(broken)) => {
-                down.discard(down.held());
-                return Err(AttemptEnd::new(Outcome::Reset, AttemptCause::NoWholeAnswer(broken)));
+            Some(Err(loss)) => {
+                received.discard(received.held());
+                return Err(AttemptEnd::new(Outcome::Reset, AttemptCause::IncompleteAnswer(loss)));
             }
         };
         let outcome = match line::reply(&line) {
-            // It has a session that nobody gave it.
-            Reply::Up if pipe.session.get() && !handle.leased() => Outcome::Error,
+            // The server claims a session for which it was granted no lease.
+            Reply::Up if pipe.has_session.get() && !handle.has_lease() => Outcome::Error,
             Reply::Up => {
-                down.commit(line.len());
+                received.commit(line.len());
                 return if handle.established() {
                     Ok(())
                 } else {
@@ -238,103 +241,104 @@
                 };
             }
             Reply::Bye(_) => {
-                down.commit(down.held());
+                received.commit(received.held());
                 return Err(AttemptEnd::new(Outcome::Ok, AttemptCause::Answered));
             }
             Reply::Move => Outcome::Cancelled,
             Reply::Busy(_) => Outcome::Full,
             _ => Outcome::Error,
         };
-        // Nothing of this answer is for the client: the next attempt's comes in its place.
-        down.discard(down.held());
+        // The client does not get this answer, but that of the next attempt.
+        received.discard(received.held());
         Err(AttemptEnd::new(outcome, AttemptCause::Answered))
     }
 
-    /// Passes lines on until the connection ends.
-    async fn stand(&self, stream: &TcpStream, pipe: &Pipe, handle: &AttemptHandle) -> AttemptEnd {
-        let last = &pipe.last_word;
-        let arrived = || pass_lines(pipe, handle);
-        // Lines may have come along with the first.
-        if !arrived() {
-            return Self::endless(pipe);
+    /// Relays lines in both directions until the connection ends.
+    async fn relay(&self, stream: &TcpStream, pipe: &Pipe, handle: &AttemptHandle) -> AttemptEnd {
+        let closing_outcome = &pipe.closing_outcome;
+        let on_data = || forward_lines(pipe, handle);
+        // Further lines may have arrived together with the first.
+        if !on_data() {
+            return Self::line_too_long(pipe);
         }
-        let reading = pump::fill(stream, &pipe.down, arrived);
+        let reading = pump::fill(stream, &pipe.server_to_client, on_data);
         let writing = async {
-            if pipe.session.get() {
-                pump::empty_between(&pipe.up, &pipe.to_host, stream, true).await
+            if pipe.has_session.get() {
+                pump::empty_between(&pipe.client_to_server, &pipe.inserted_to_server, stream, true).await
             } else {
-                pump::empty(&pipe.up, stream).await
+                pump::empty(&pipe.client_to_server, stream).await
             }
         };
         tokio::pin!(reading, writing);
         let (end, client_left) = tokio::select! {
             end = &mut reading => (end, false),
             more = &mut writing => {
-                // The client has ended its sending; the form host may still send.
+                // The client has closed its side; the server may still send.
                 let end = if more { self.clock.within(LINGER_MS, &mut reading).await } else { None };
                 (end.unwrap_or(Filled::Stopped), true)
             }
         };
         match end {
             Filled::Closed => {
-                pipe.down.end(End::Closed);
-                // A host that has said its last word wants nothing more from the client.
-                if let Some(outcome) = last.get() {
+                pipe.server_to_client.end(End::Closed);
+                // After its closing message, the server expects nothing more from the client.
+                if let Some(outcome) = closing_outcome.get() {
                     return AttemptEnd::new(outcome, AttemptCause::ServerClosed);
                 }
                 if client_left {
                     return AttemptEnd::new(Outcome::Cancelled, AttemptCause::ClientClosed);
                 }
-                // The form host has ended its sending; the client may still send.
+                // The server has closed its side; the client may still send.
                 self.clock.within(LINGER_MS, &mut writing).await;
-                AttemptEnd::new(Outcome::Reset, AttemptCause::Broken(Broken::EndOfStream))
+                AttemptEnd::new(Outcome::Reset, AttemptCause::Broken(ConnectionLoss::EndOfStream))
             }
             Filled::DirectionEnded => AttemptEnd::cancelled(Outcome::Cancelled),
             _ if client_left => AttemptEnd::new(Outcome::Cancelled, AttemptCause::ClientClosed),
-            _ if pipe.down.held() > LONGEST => Self::endless(pipe),
+            _ if pipe.server_to_client.held() > LONGEST => Self::line_too_long(pipe),
             Filled::Broken(error) => {
-                pipe.down.end(End::Reset);
-                AttemptEnd::new(Outcome::Reset, AttemptCause::Broken(Broken::Read(error)))
+                pipe.server_to_client.end(End::Reset);
+                AttemptEnd::new(Outcome::Reset, AttemptCause::Broken(ConnectionLoss::Read(error)))
             }
             Filled::Stopped => {
-                pipe.down.end(End::Reset);
-                AttemptEnd::new(Outcome::Reset, AttemptCause::Broken(Broken::Abandoned))
+                pipe.server_to_client.end(End::Reset);
+                AttemptEnd::new(Outcome::Reset, AttemptCause::Broken(ConnectionLoss::Abandoned))
             }
         }
     }
 
-    /// What the host sends is no line, and none can come after it. Its client has nothing of it and can be sent away
-    /// between two lines.
-    fn endless(pipe: &Pipe) -> AttemptEnd {
-        pipe.down.end(End::ClosingMessage("MOVE\r\n".into()));
-        AttemptEnd::new(Outcome::Reset, AttemptCause::EndlessLine)
+    /// Ends a connection whose server sent an overlong line, after which no further line can be read. The
+    /// client has received none of it, so that it can be asked to reconnect between two lines.
+    fn line_too_long(pipe: &Pipe) -> AttemptEnd {
+        pipe.server_to_client.end(End::ClosingMessage("MOVE\r\n".into()));
+        AttemptEnd::new(Outcome::Reset, AttemptCause::LineTooLong)
     }
 
-    /// Asks a form host for its load.
-    async fn probe(&self, probe: Probe) {
+    /// Sends a load probe to a server.
+    async fn send_probe(&self, probe: Probe) {
         let Probe { address, mut result, descriptor } = probe;
         let reports = !self.tuning.now().names.report_fields.is_empty();
-        let question: &[u8] = if reports { b"STATS\r\n" } else { b"PING\r\n" };
-        let asking = async {
-            let stream = self.connect(address, PROBE_MS, || result.no_connection()).await.ok()?;
-            pump::write_all(&stream, question).await.ok()?;
-            let line = first_line(&stream, &Ring::new()).await.ok()?;
+        let query: &[u8] = if reports { b"STATS\r\n" } else { b"PING\r\n" };
+        let query_load = async {
+            let stream = self.connect(address, PROBE_TIMEOUT_MS, || result.no_connection()).await.ok()?;
+            pump::write_all(&stream, query).await.ok()?;
+            let line = read_first_line(&stream, &Ring::new()).await.ok()?;
             match line::reply(&line) {
                 Reply::Pong(report) => Some(report),
                 _ => None,
             }
         };
-        if let Some(report) = self.clock.within(PROBE_MS, asking).await.flatten() {
+        if let Some(report) = self.clock.within(PROBE_TIMEOUT_MS, query_load).await.flatten() {
             result.answered(&report);
         }
         drop(descriptor);
     }
 }
 
-impl Servers {
-    /// Gives a form host's socket back. An attempt that has ended must not be out any more, so that is
-    /// told after it; and one that has a session may hold it until it ends its side, or its lease does.
-    async fn part(
+impl Backend {
+    /// Releases a server's socket and reports the end of the attempt, in this order: the next attempt may
+    /// only start after the socket is closed. A server may hold a session until it closes its side or its
+    /// lease expires, so the release waits for that.
+    async fn release(
         &self,
         socket: TcpStream,
         descriptor: Descriptor,
@@ -342,97 +346,102 @@
         handle: AttemptHandle,
         end: AttemptEnd,
     ) {
-        self.finish_socket(&socket, pipe, &handle).await;
+        self.prepare_close(&socket, pipe, &handle).await;
         pipe.release_server(socket, descriptor);
         handle.end(end);
     }
 
-    /// Prepares a server's socket for its close.
-    async fn finish_socket(&self, socket: &TcpStream, pipe: &Pipe, handle: &AttemptHandle) {
-        if pipe.session.get() && !pipe.handed_over() {
+    /// Prepares a server's socket to be closed.
+    async fn prepare_close(&self, socket: &TcpStream, pipe: &Pipe, handle: &AttemptHandle) {
+        if pipe.has_session.get() && !pipe.handed_over() {
             let _ = SockRef::from(socket).shutdown(Shutdown::Write);
-            let rest = async { while let Ok(true) = pump::discard(socket, DROPPED).await {} };
-            self.clock.within(handle.hold_ms(), rest).await;
+            let remaining_input =
+                async { while let Ok(true) = pump::discard(socket, DISCARD_CHUNK_BYTES).await {} };
+            self.clock.within(handle.hold_ms(), remaining_input).await;
         }
-        if pipe.up.broken() {
+        if pipe.client_to_server.broken() {
             pump::reset(socket);
         } else if !pipe.handed_over() {
-            // A close over unread bytes would be a reset, and a client's last lines may go with it.
+            // Closing a socket with unread bytes would reset it, which may destroy the client's last lines.
             pump::drop_unread(socket);
         }
     }
 }
 
-/// Reads the answer of a form host that is to hold a session: before that it asks for a lease, and is
-/// told what has been saved.
-async fn session_answer(stream: &TcpStream, pipe: &Pipe, handle: &AttemptHandle) -> Result<Vec<u8>, Broken> {
-    let telling = async {
+/// Reads the answer of a server that is to hold a session. Before it answers, the server requests a lease
+/// and receives the saved fields.
+async fn read_session_answer(
+    stream: &TcpStream,
+    pipe: &Pipe,
+    handle: &AttemptHandle,
+) -> Result<Vec<u8>, ConnectionLoss> {
+    let writing_lines = async {
         loop {
-            pipe.to_host.some().await;
-            if pump::write_all(stream, &pipe.to_host.take()).await.is_err() {
+            pipe.inserted_to_server.some().await;
+            if pump::write_all(stream, &pipe.inserted_to_server.take()).await.is_err() {
                 return;
             }
         }
     };
-    let hearing = async {
+    let reading_answer = async {
         loop {
-            let line = first_line(stream, &pipe.down).await?;
+            let line = read_first_line(stream, &pipe.server_to_client).await?;
             let Some(FromHost::Renew(k)) = session::from_host(&line) else { return Ok(line) };
-            pipe.down.discard(line.len());
-            handle.renews(k);
+            pipe.server_to_client.discard(line.len());
+            handle.request_lease(k);
         }
     };
     tokio::select! {
         biased;
-        line = hearing => line,
-        () = telling => Err(Broken::Abandoned),
+        line = reading_answer => line,
+        () = writing_lines => Err(ConnectionLoss::Abandoned),
     }
 }
 
-/// Reads a first line, and leaves it held.
-async fn first_line(stream: &TcpStream, ring: &Ring) -> Result<Vec<u8>, Broken> {
-    let whole = || ring.line().is_some() || ring.held() > LONGEST;
-    let filled = pump::fill(stream, ring, || !whole()).await;
+/// Reads the first line and leaves it in the ring.
+async fn read_first_line(stream: &TcpStream, ring: &Ring) -> Result<Vec<u8>, ConnectionLoss> {
+    let complete = || ring.line().is_some() || ring.held() > LONGEST;
+    let filled = pump::fill(stream, ring, || !complete()).await;
     let line = ring.line().filter(|line| line.len() <= LONGEST);
     line.ok_or(match filled {
-        Filled::Closed => Broken::EndOfStream,
-        Filled::Broken(error) => Broken::Read(error),
-        Filled::Stopped => Broken::NoLine,
-        Filled::DirectionEnded => Broken::Abandoned,
+        Filled::Closed => ConnectionLoss::EndOfStream,
+        Filled::Broken(error) => ConnectionLoss::Read(error),
+        Filled::Stopped => ConnectionLoss::LineTooLong,
+        Filled::DirectionEnded => ConnectionLoss::Abandoned,
     })
 }
 
-/// Passes whole lines on to the client, so that it can be told to move between two of them at any
-/// time. False if a line is too long to be one.
-fn pass_lines(pipe: &Pipe, handle: &AttemptHandle) -> bool {
-    let last = &pipe.last_word;
-    while let Some(line) = pipe.down.line() {
-        match session::from_host(&line).filter(|_| pipe.session.get()) {
+/// Forwards complete lines to the client, so that it can be asked to reconnect between two of them at any
+/// time. Returns false if a line is too long.
+fn forward_lines(pipe: &Pipe, handle: &AttemptHandle) -> bool {
+    let closing_outcome = &pipe.closing_outcome;
+    while let Some(line) = pipe.server_to_client.line() {
+        match session::from_host(&line).filter(|_| pipe.has_session.get()) {
             Some(FromHost::Renew(k)) => {
-                pipe.down.take(line.len());
-                handle.renews(k);
+                pipe.server_to_client.take(line.len());
+                handle.request_lease(k);
                 continue;
             }
             Some(FromHost::Saved(n)) => {
-                pipe.down.commit(line.len());
+                pipe.server_to_client.commit(line.len());
                 handle.saved(pipe, n);
                 continue;
             }
             Some(FromHost::Taken) => {
-                last.set(Some(Outcome::Cancelled));
-                pipe.down.commit(line.len());
+                closing_outcome.set(Some(Outcome::Cancelled));
+                pipe.server_to_client.commit(line.len());
                 continue;
             }
             None => {}
         }
-        last.set(None);
+        closing_outcome.set(None);
         match line::reply(&line) {
             Reply::Load(load) => handle.load(pipe, load),
-            Reply::Bye(_) => last.set(Some(Outcome::Ok)),
-            Reply::Move => last.set(Some(Outcome::Cancelled)),
+            Reply::Bye(_) => closing_outcome.set(Some(Outcome::Ok)),
+            Reply::Move => closing_outcome.set(Some(Outcome::Cancelled)),
             _ => handle.answered(pipe),
         }
-        pipe.down.commit(line.len());
+        pipe.server_to_client.commit(line.len());
     }
-    pipe.down.held() <= LONGEST
+    pipe.server_to_client.held() <= LONGEST
 }
--- a/node/src/core.rs
+++ b/node/src/core.rs
@@ -1,7 +1,7 @@
-//! The decisions at work: feeds events to the balancer and has its actions carried out, in order.
+//! Drives the balancer: feeds it events and executes its actions in order.
 //!
-//! Owns the balancer, the numbering of requests, and its timers. Decides nothing, and knows no
-//! sockets and no syntax: whoever brings requests, by whatever protocol, implements [`Requests`].
+//! Owns the balancer, the numbering of requests, and the timers. Makes no decisions and is independent of
+//! sockets and protocols: the component that brings requests implements [`RequestActions`].
 
 use crate::io::clock::{Clock, Millis};
 use marllink::{Action, AttemptNo, Balancer, Event, Holding, Knowledge, RequestId, ServerId, Settings};
@@ -10,50 +10,50 @@
 use std::rc::{Rc, Weak};
 use tokio::sync::Notify;
 
-/// What the decisions do about requests and servers.
-pub trait Requests {
+/// The balancer's actions on requests and servers.
+pub trait RequestActions {
     /// Sends the next attempt of a request.
     fn send(&self, request: RequestId, server: ServerId, timeout_ms: Millis);
-    /// Stops waiting for an attempt.
+    /// Cancels an attempt.
     fn cancel(&self, request: RequestId, attempt: AttemptNo);
-    /// Final answer: refused, and when to come again; 0 for no advice.
-    fn refuse(&self, request: RequestId, retry_after_ms: Millis);
-    /// Final answer: failed.
+    /// Sends the final answer to a rejected request, with the time to wait before a retry; 0 for no advice.
+    fn reject(&self, request: RequestId, retry_after_ms: Millis);
+    /// Sends the final answer to a failed request.
     fn fail(&self, request: RequestId);
-    /// Asks an open connection's client to come again.
+    /// Asks the client of an established connection to reconnect.
     fn move_client(&self, request: RequestId);
-    /// Asks a server for its load.
+    /// Sends a load probe to a server.
     fn probe(&self, server: ServerId);
 }
 
-/// What the decisions do about the list of servers.
+/// The balancer's actions on the server list.
 pub trait Membership {
-    /// Asks for the whole list once.
+    /// Fetches the whole list once.
     fn fetch(&self);
-    /// Subscribes to its changes.
+    /// Subscribes to changes of the list.
     fn watch(&self);
 }
 
-/// Runs one balancer.
+/// Drives one balancer.
 pub struct Core {
     clock: Clock,
     balancer: RefCell<Balancer>,
     queue: RefCell<VecDeque<Event>>,
-    /// Events are being handled; more of them only join the queue.
+    /// An event is being handled; further events are only queued.
     busy: Cell<bool>,
     next_request: Cell<u64>,
-    requests: RefCell<Option<Weak<dyn Requests>>>,
+    requests: RefCell<Option<Weak<dyn RequestActions>>>,
     membership: RefCell<Option<Rc<dyn Membership>>>,
-    /// A first connection stands.
-    served: Notify,
-    me: Weak<Core>,
+    /// Notified whenever a connection is established.
+    established: Notify,
+    weak_self: Weak<Core>,
 }
 
 impl Core {
-    /// A core whose balancer knows nothing yet.
+    /// Creates a core whose balancer has no server list yet.
     pub fn new(clock: Clock, settings: Settings, seed: u64) -> Rc<Self> {
         let balancer = RefCell::new(Balancer::new(settings, seed, clock.now()));
-        Rc::new_cyclic(|me| Self {
+        Rc::new_cyclic(|weak_self| Self {
             clock,
             balancer,
             queue: RefCell::default(),
@@ -61,105 +61,106 @@
             next_request: Cell::new(1),
             requests: RefCell::new(None),
             membership: RefCell::new(None),
-            served: Notify::new(),
-            me: me.clone(),
+            established: Notify::new(),
+            weak_self: weak_self.clone(),
         })
     }
 
-    /// Tells who carries the actions out. To be called before the first event.
-    pub fn connect(&self, requests: Weak<dyn Requests>, membership: Rc<dyn Membership>) {
+    /// Sets the components that execute the actions. Must be called before the first event.
+    pub fn connect(&self, requests: Weak<dyn RequestActions>, membership: Rc<dyn Membership>) {
         *self.requests.borrow_mut() = Some(requests);
         *self.membership.borrow_mut() = Some(membership);
     }
 
-    /// A number for a new request; never the same twice.
+    /// Returns the number for a new request, which is never reused.
     pub fn number_request(&self) -> RequestId {
         let id = self.next_request.get();
         self.next_request.set(id + 1);
         RequestId(id)
     }
 
-    /// Waits until a connection stands that was not there before. For one caller.
+    /// Waits until the next connection is established. Supports a single waiting task.
     pub async fn connection_established(&self) {
-        self.served.notified().await;
+        self.established.notified().await;
     }
 
-    /// What a successor is to know.
+    /// Returns what the balancer has learned, for the successor process.
     pub fn knowledge(&self) -> Knowledge {
         Knowledge { now: self.clock.now(), ..self.balancer.borrow().knowledge() }
     }
 
-    /// True if an attempt at this server may begin now. Not to be asked while an action is carried out.
-    pub fn takes_new(&self, server: ServerId) -> bool {
+    /// Returns true if an attempt at this server may start now. Must not be called while the balancer handles
+    /// an event.
+    pub fn accepts_new(&self, server: ServerId) -> bool {
         self.balancer.borrow().takes_new(server)
     }
 
-    /// What this process holds itself.
+    /// Returns the connections and load that this process itself holds, by server.
     pub fn holdings(&self) -> Vec<Holding> {
         let mut holdings = self.balancer.borrow().holdings();
-        holdings.sort_by_key(|held| held.server);
+        holdings.sort_by_key(|holding| holding.server);
         holdings
     }
 
-    /// Takes an event. What carrying out its actions brings about comes after it, so that events
-    /// are handled one at a time and actions carried out in the order they were decided.
+    /// Handles an event. Events that arise while its actions are executed are queued, so that events are
+    /// handled one at a time and actions are executed in the order in which they were decided.
     pub fn feed(&self, event: Event) {
         self.queue.borrow_mut().push_back(event);
         if self.busy.replace(true) {
             return;
         }
-        let _turn = Turn(&self.busy);
+        let _guard = BusyGuard(&self.busy);
         let mut actions = Vec::new();
         loop {
             let Some(event) = self.queue.borrow_mut().pop_front() else { break };
             if matches!(event, Event::Established { .. }) {
-                self.served.notify_one();
+                self.established.notify_one();
             }
             if !matches!(event, Event::Timer(_)) {
                 tracing::debug!("{:.1} {event:?}", self.clock.now());
             }
             self.balancer.borrow_mut().handle(self.clock.now(), event, &mut actions);
-            for action in actions.iter().filter(|a| !matches!(a, Action::SetTimer { .. })) {
+            for action in actions.iter().filter(|action| !matches!(action, Action::SetTimer { .. })) {
                 tracing::debug!("{:.1} {action:?}", self.clock.now());
             }
             for action in actions.drain(..) {
-                self.carry_out(action);
+                self.execute(action);
             }
         }
     }
 
-    fn carry_out(&self, action: Action) {
+    fn execute(&self, action: Action) {
         let requests = self.requests.borrow().as_ref().and_then(Weak::upgrade);
         let membership = self.membership.borrow().clone();
         let (Some(requests), Some(membership)) = (requests, membership) else { return };
         match action {
             Action::Send { request, server, timeout_ms } => requests.send(request, server, timeout_ms),
             Action::Cancel { request, attempt } => requests.cancel(request, attempt),
-            Action::Refuse { request, retry_after_ms } => requests.refuse(request, retry_after_ms),
+            Action::Refuse { request, retry_after_ms } => requests.reject(request, retry_after_ms),
             Action::Fail(request) => requests.fail(request),
             Action::Move(request) => requests.move_client(request),
             Action::Probe(server) => requests.probe(server),
             Action::FetchList => membership.fetch(),
             Action::WatchList => membership.watch(),
             Action::SetTimer { delay_ms, token } => {
-                let Some(core) = self.me.upgrade() else { return };
+                let Some(core) = self.weak_self.upgrade() else { return };
                 tokio::task::spawn_local(async move {
                     core.clock.sleep(delay_ms).await;
                     core.feed(Event::Timer(token));
                 });
             }
             Action::Log(text) => tracing::info!("{text}"),
-            // There is no way between balancers here, and the settings do not allow one.
+            // Balancer processes have no channel between them, and the settings do not allow this action.
             Action::TellPeer { .. } => {}
         }
     }
 }
 
-/// Gives the turn to handle events back, also when a panic ends it: one event that fails must cost
-/// its own request, and not leave all later ones in the queue for ever.
-struct Turn<'a>(&'a Cell<bool>);
+/// Clears the busy flag when dropped, even by a panic: an event whose handling panics must not leave all
+/// later events in the queue forever.
+struct BusyGuard<'a>(&'a Cell<bool>);
 
-impl Drop for Turn<'_> {
+impl Drop for BusyGuard<'_> {
     fn drop(&mut self) {
         self.0.set(false);
     }
@@ -170,47 +171,46 @@
     use super::*;
     use marllink::{CellId, Class, ListKind, NewRequest, ServerEntry, ServerState, ZoneId};
 
-    /// Writes down what it is asked, and answers a send at once with an end, as a node without a
-    /// free descriptor does.
+    /// Records the actions, and ends each attempt at once, as a node without a free descriptor does.
     #[derive(Default)]
     struct Recorder {
         core: RefCell<Weak<Core>>,
-        asked: RefCell<Vec<String>>,
+        recorded: RefCell<Vec<String>>,
         attempts: Cell<u8>,
-        panics: Cell<bool>,
+        panic_on_send: Cell<bool>,
     }
 
     impl Recorder {
-        fn note(&self, text: String) {
-            self.asked.borrow_mut().push(text);
+        fn record(&self, text: String) {
+            self.recorded.borrow_mut().push(text);
         }
     }
 
-    impl Requests for Recorder {
+    impl RequestActions for Recorder {
         fn send(&self, request: RequestId, _: ServerId, _: Millis) {
-            assert!(!self.panics.take(), "this one fails");
+            assert!(!self.panic_on_send.take(), "simulated panic");
             let attempt = AttemptNo(self.attempts.replace(self.attempts.get() + 1));
-            self.note(format!("send {} begins", request.0));
-            let core = self.core.borrow().upgrade().expect("it is in use");
+            self.record(format!("send {} begins", request.0));
+            let core = self.core.borrow().upgrade().expect("the core is alive while it executes an action");
             core.feed(Event::AttemptEnded {
                 request,
                 attempt,
                 outcome: marllink::Outcome::NotSent,
                 closed: false,
             });
-            self.note(format!("send {} ends", request.0));
+            self.record(format!("send {} ends", request.0));
         }
         fn cancel(&self, request: RequestId, _: AttemptNo) {
-            self.note(format!("cancel {}", request.0));
+            self.record(format!("cancel {}", request.0));
         }
-        fn refuse(&self, request: RequestId, _: Millis) {
-            self.note(format!("refuse {}", request.0));
+        fn reject(&self, request: RequestId, _: Millis) {
+            self.record(format!("reject {}", request.0));
         }
         fn fail(&self, request: RequestId) {
-            self.note(format!("fail {}", request.0));
+            self.record(format!("fail {}", request.0));
         }
         fn move_client(&self, request: RequestId) {
-            self.note(format!("move {}", request.0));
+            self.record(format!("move {}", request.0));
         }
         fn probe(&self, _: ServerId) {}
     }
@@ -220,14 +220,14 @@
         fn watch(&self) {}
     }
 
-    /// A core with one server, between recorders.
+    /// Creates a core with one server, and the recorder that executes its actions.
     fn core() -> (Rc<Core>, Rc<Recorder>) {
         let mut settings = Settings { nodes: 1, classes: vec![Class::default()], ..Settings::default() };
         settings.limits.max_attempts = 2;
         let core = Core::new(Clock::settable(), settings, 1);
         let recorder = Rc::new(Recorder::default());
         *recorder.core.borrow_mut() = Rc::downgrade(&core);
-        let requests: Weak<dyn Requests> = Rc::downgrade(&recorder) as _;
+        let requests: Weak<dyn RequestActions> = Rc::downgrade(&recorder) as _;
         core.connect(requests, recorder.clone());
         let entry = ServerEntry {
             server: ServerId(1),
@@ -247,27 +247,27 @@
     }
 
     #[tokio::test(flavor = "current_thread")]
-    async fn what_an_action_brings_about_comes_after_it() {
+    async fn events_from_an_action_are_handled_after_it() {
         tokio::task::LocalSet::new()
             .run_until(async {
                 let (core, recorder) = core();
                 core.feed(request(&core));
-                let asked = recorder.asked.borrow().join(", ");
-                assert_eq!(asked, "send 1 begins, send 1 ends, send 1 begins, send 1 ends, refuse 1");
+                let recorded = recorder.recorded.borrow().join(", ");
+                assert_eq!(recorded, "send 1 begins, send 1 ends, send 1 begins, send 1 ends, reject 1");
             })
             .await;
     }
 
     #[tokio::test(flavor = "current_thread")]
-    async fn an_event_that_fails_does_not_hold_up_the_next() {
+    async fn a_panic_while_handling_an_event_does_not_block_later_events() {
         tokio::task::LocalSet::new()
             .run_until(async {
                 let (core, recorder) = core();
-                recorder.panics.set(true);
-                let failing = std::panic::AssertUnwindSafe(|| core.feed(request(&core)));
-                assert!(std::panic::catch_unwind(failing).is_err());
+                recorder.panic_on_send.set(true);
+                let panicking = std::panic::AssertUnwindSafe(|| core.feed(request(&core)));
+                assert!(std::panic::catch_unwind(panicking).is_err());
                 core.feed(request(&core));
-                assert_eq!(recorder.asked.borrow().first().map(String::as_str), Some("send 2 begins"));
+                assert_eq!(recorder.recorded.borrow().first().map(String::as_str), Some("send 2 begins"));
             })
             .await;
     }
--- a/node/src/exchange/commands.rs
+++ b/node/src/exchange/commands.rs
@@ -1,4 +1,4 @@
-//! What the exchange asks of the client side and of the server side.
+//! The commands that the exchange sends to the client side and to the server side.
 
 use super::{AttemptHandle, Pipe, ProbeResult, RequestHandle};
 use crate::io::clock::Millis;
@@ -9,71 +9,72 @@
 use std::rc::Rc;
 use tokio::net::TcpStream;
 
-/// What the client side is to do with a connection that another process has passed on.
+/// The client's half of a connection that another process has handed off, for the client side to serve.
 #[derive(Debug)]
-pub struct Adopted {
+pub struct AdoptedClient {
     /// The client's socket.
     pub socket: TcpStream,
-    /// Its request.
+    /// The handle of its request.
     pub request_handle: RequestHandle,
     /// The connection's two directions.
     pub pipe: Rc<Pipe>,
-    /// For the socket.
+    /// The descriptor of the socket.
     pub descriptor: Descriptor,
 }
 
-/// What the server side is to do.
+/// A command for the server side.
 #[derive(Debug)]
-pub enum Order {
-    /// An attempt.
+pub enum BackendCommand {
+    /// Make an attempt.
     Attempt(Attempt),
-    /// A connection that another process has passed on.
-    Standing {
-        /// The form host's socket.
+    /// Serve the server's half of an established connection that another process has handed off.
+    Established {
+        /// The server's socket.
         socket: TcpStream,
         /// The connection's two directions.
         pipe: Rc<Pipe>,
-        /// Tells the exchange what becomes of it.
+        /// Reports the connection's progress to the exchange.
         handle: AttemptHandle,
-        /// For the socket.
+        /// The descriptor of the socket.
         descriptor: Descriptor,
     },
-    /// A probe.
+    /// Send a load probe.
     Probe(Probe),
 }
 
 /// An attempt to be made.
 #[derive(Debug)]
 pub struct Attempt {
-    /// Where the form host is reached.
+    /// The server's address.
     pub address: SocketAddr,
-    /// What the client asked.
+    /// The client's first line.
     pub opening: Rc<Opening>,
-    /// How the form host is to hold its session, if it has one.
-    pub held_as: Option<String>,
-    /// How long the attempt may take until it stands.
+    /// The session and ballot under which the server is to hold the session, if the request has one.
+    pub session_ballot: Option<String>,
+    /// Maximum time until the connection is established, in milliseconds.
     pub wait_ms: Millis,
-    /// Set for a connection that was open at this server before: it is tried again there.
-    pub restores: Option<Restores>,
+    /// Set for a connection that was open at this server before: which failed attempts to restore it
+    /// are repeated.
+    pub restore_retry: Option<RestoreRetry>,
     /// The connection's two directions.
     pub pipe: Rc<Pipe>,
-    /// Tells the exchange what becomes of it.
+    /// Reports the attempt's progress to the exchange.
     pub handle: AttemptHandle,
-    /// For its socket.
+    /// The descriptor of the socket.
     pub descriptor: Descriptor,
 }
 
 /// Which failed attempts to restore a connection may be repeated at the same server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Restores {
-    /// Those that have surely not run.
+pub enum RestoreRetry {
+    /// Only those that certainly have not run.
     IfNeverRan,
-    /// All: requests of its class may run twice.
+    /// All of them: requests of this class may run twice.
     Always,
 }
 
-impl Restores {
-    /// True if an attempt that has ended like this may be repeated.
+impl RestoreRetry {
+    /// Returns true if an attempt that ended with this outcome may be repeated.
     pub fn may_repeat(self, outcome: Outcome) -> bool {
         match outcome {
             Outcome::ConnectFailed | Outcome::Full | Outcome::NotSent => true,
@@ -83,13 +84,13 @@
     }
 }
 
-/// A probe to be made.
+/// A load probe to be sent.
 #[derive(Debug)]
 pub struct Probe {
-    /// Where the form host is reached.
+    /// The server's address.
     pub address: SocketAddr,
-    /// Whom to tell.
+    /// Reports the result to the exchange.
     pub result: ProbeResult,
-    /// For its socket.
+    /// The descriptor of the socket.
     pub descriptor: Descriptor,
 }
--- a/node/src/exchange/handles.rs
+++ b/node/src/exchange/handles.rs
@@ -1,15 +1,16 @@
-//! What each side holds of a request: dropped, it gives that back, however its task ends.
+//! The handles that the client side and the server side hold while they serve a request. A dropped handle
+//! reports the end to the exchange, no matter how its task ended.
 
 use super::record::{AttemptEnd, AttemptRecord, EndReason};
-use super::{Cancellation, Entry, Exchange, Phase, Pipe};
-use crate::backend::load_line::{self, Meaning, Seen};
+use super::{Cancellation, Exchange, Phase, Pipe, RequestEntry};
+use crate::backend::load_line::{self, LineContext, LineKind};
 use crate::io::clock::Millis;
 use crate::protocol::report::{self, Report};
 use marllink::{AttemptNo, Event, Outcome, RequestId, ServerId, Sign};
 use marllink_sessions::Event as SessionEvent;
 use std::rc::{Rc, Weak};
 
-/// What the client side holds of a request. Dropped, it tells that the client has left.
+/// The client side's handle of a request. Dropping it reports that the client has left.
 pub struct RequestHandle {
     pub(super) exchange: Rc<Exchange>,
     pub(super) id: RequestId,
@@ -23,40 +24,41 @@
 }
 
 impl RequestHandle {
-    /// How long the client still waited when the request was taken.
+    /// Returns how long the client was still going to wait when the request was accepted, in milliseconds.
     pub fn wait_ms(&self) -> Millis {
         self.wait_ms
     }
 
-    /// The client of a session has sent something: its saves go to those that keep them, and other whole
-    /// lines go on. False if a line is too long to be one.
-    pub fn sent_in_session(&self, pipe: &Pipe) -> bool {
-        self.exchange.client_said(self.id, pipe)
+    /// Processes what the client of a session has sent: saves are replicated, other complete lines are
+    /// forwarded to the server. Returns false if a line is too long.
+    pub fn forward_session_lines(&self, pipe: &Pipe) -> bool {
+        self.exchange.forward_session_lines(self.id, pipe)
     }
 
-    /// The client has sent whole lines: they go on.
-    pub fn sent(&self, pipe: &Pipe) {
+    /// Forwards what the client has sent to the server.
+    pub fn forward_lines(&self, pipe: &Pipe) {
         let now = self.exchange.clock.now();
-        while let Some(line) = pipe.up.line() {
-            pipe.waiting.borrow_mut().sent(now);
-            pipe.up.commit(line.len());
+        while let Some(line) = pipe.client_to_server.line() {
+            pipe.unanswered.borrow_mut().line_sent(now);
+            pipe.client_to_server.commit(line.len());
         }
-        // Half a line goes on as well; only the way down must be cut between lines.
-        pipe.up.commit(pipe.up.held());
+        // An incomplete line is forwarded as well: only the direction to the client has to end between lines.
+        pipe.client_to_server.commit(pipe.client_to_server.held());
     }
 
-    /// The client has sent something before its answer, which no client of the protocol does:
-    /// nothing of that may reach a form host, and the request ends here.
-    pub fn malformed(&self) {
+    /// Ends the request because the client sent data before its answer. The protocol does not allow that,
+    /// and none of the data may reach a server.
+    pub fn reject_malformed(&self) {
         self.exchange.answer(self.id, "ERR\r\n".into(), EndReason::ClientMalformed);
         self.exchange.core.feed(Event::ClientGone(self.id));
     }
 
-    /// The client's time is over. A guard: the decisions answer before that.
-    pub fn overdue(&self) {
-        let waiting = |e: &Entry| matches!(e.phase, Phase::Waiting);
+    /// Answers the request if it still waits after the client's deadline. Guards against a balancer that
+    /// does not decide in time.
+    pub fn deadline_passed(&self) {
+        let waiting = |entry: &RequestEntry| matches!(entry.phase, Phase::Waiting);
         if self.exchange.entries.borrow().get(&self.id).is_some_and(waiting) {
-            tracing::error!(request = self.id.0, "no answer was decided in time");
+            tracing::error!(request = self.id.0, "no answer before the deadline of the request");
             self.exchange.answer_now(self.id);
         }
     }
@@ -68,8 +70,8 @@
     }
 }
 
-/// What the server side holds of an attempt. Dropped, it tells how the attempt ended; its socket
-/// must be closed by then, as the next attempt may follow at once.
+/// The server side's handle of an attempt. Dropping it reports how the attempt ended; the socket must be
+/// closed by then, because the next attempt may follow at once.
 pub struct AttemptHandle {
     pub(super) exchange: Rc<Exchange>,
     pub(super) id: RequestId,
@@ -78,7 +80,7 @@
     pub(super) cancellation: Rc<Cancellation>,
     pub(super) sent_at: Millis,
     pub(super) end: Option<AttemptEnd>,
-    pub(super) asked: std::cell::Cell<bool>,
+    pub(super) lease_requested: std::cell::Cell<bool>,
 }
 
 impl std::fmt::Debug for AttemptHandle {
@@ -88,22 +90,22 @@
 }
 
 impl AttemptHandle {
-    /// Waits until the attempt is ended from the exchange's side, and tells how it has ended.
+    /// Waits until the exchange cancels the attempt. Returns the outcome with which it ends.
     pub async fn cancelled(&self) -> Outcome {
         loop {
             if let Some(outcome) = self.cancellation.outcome.get() {
                 return outcome;
             }
-            self.cancellation.called.notified().await;
+            self.cancellation.triggered.notified().await;
         }
     }
 
-    /// True unless the form host has been told to drain, or has gone, since it was picked.
-    pub fn may_begin(&self) -> bool {
-        self.exchange.core.takes_new(self.server)
+    /// Returns false if the server has started draining or has left the list since it was picked.
+    pub fn may_start(&self) -> bool {
+        self.exchange.core.accepts_new(self.server)
     }
 
-    /// The form host has taken the connection. False if the client needs it no more.
+    /// Reports that the server has accepted the connection. Returns false if the client no longer needs it.
     pub fn established(&self) -> bool {
         let exchange = &self.exchange;
         let mut entries = exchange.entries.borrow_mut();
@@ -111,103 +113,108 @@
         if !matches!(entry.phase, Phase::Waiting) {
             return false;
         }
-        entry.phase = Phase::Standing;
-        entry.pipe.standing.set(true);
-        entry.pipe.stood_at.set(exchange.clock.now());
+        entry.phase = Phase::Established;
+        entry.pipe.established.set(true);
+        entry.pipe.established_at.set(exchange.clock.now());
         entry.record.established(exchange.clock.now());
         drop(entries);
         let latency_ms = exchange.clock.now() - self.sent_at;
         exchange.core.feed(Event::Established { request: self.id, attempt: self.attempt, latency_ms });
-        if let Some(resume) = exchange.session_of(self.id) {
-            resume.feed(SessionEvent::Established { request: self.id });
+        if let Some(session_driver) = exchange.session_driver_of(self.id) {
+            session_driver.feed(SessionEvent::Established { request: self.id });
         }
         true
     }
 
-    /// The form host asks for a lease.
-    pub fn renews(&self, k: u64) {
-        self.asked.set(true);
-        if let Some(resume) = self.exchange.session_of(self.id) {
-            resume.feed(SessionEvent::Renews { request: self.id, k });
+    /// Reports that the server requests a lease; `k` numbers its lease requests.
+    pub fn request_lease(&self, k: u64) {
+        self.lease_requested.set(true);
+        if let Some(session_driver) = self.exchange.session_driver_of(self.id) {
+            session_driver.feed(SessionEvent::Renews { request: self.id, k });
         }
     }
 
-    /// The form host has applied all saves up to this one.
+    /// Reports that the server has applied all saves up to number `n`.
     pub fn saved(&self, pipe: &Pipe, n: u64) {
-        pipe.waiting.borrow_mut().heard(self.exchange.clock.now());
-        if let Some(resume) = self.exchange.session_of(self.id) {
-            resume.feed(SessionEvent::Saved { request: self.id, n });
+        pipe.unanswered.borrow_mut().line_received(self.exchange.clock.now());
+        if let Some(session_driver) = self.exchange.session_driver_of(self.id) {
+            session_driver.feed(SessionEvent::Saved { request: self.id, n });
         }
-        // There may be room again for saves that the client has sent already.
-        self.exchange.client_said(self.id, pipe);
+        // There may be room again for saves that the client has already sent.
+        self.exchange.forward_session_lines(self.id, pipe);
     }
 
-    /// True if the form host has asked for a lease and not had one.
-    pub fn asks(&self) -> bool {
-        self.asked.get() && !self.leased()
+    /// Returns true if the server has requested a lease that was not granted yet.
+    pub fn awaits_lease(&self) -> bool {
+        self.lease_requested.get() && !self.has_lease()
     }
 
-    /// True once the form host has a lease.
-    pub fn leased(&self) -> bool {
-        self.exchange.session_of(self.id).is_some_and(|resume| resume.leased(self.id))
+    /// Returns true once the server has been granted a lease.
+    pub fn has_lease(&self) -> bool {
+        self.exchange.session_driver_of(self.id).is_some_and(|driver| driver.has_lease(self.id))
     }
 
-    /// A form host that takes a session asks for its lease within so long.
-    pub fn asks_within(&self) -> Millis {
-        self.exchange.session_of(self.id).map_or(f64::INFINITY, |resume| resume.asks_within())
+    /// Returns the time within which a server that accepts a session requests its lease, in milliseconds.
+    pub fn lease_request_timeout_ms(&self) -> Millis {
+        self.exchange
+            .session_driver_of(self.id)
+            .map_or(f64::INFINITY, |driver| driver.lease_request_timeout_ms())
     }
 
-    /// For how long the form host may hold the session yet.
+    /// Returns how much longer the server may hold the session, in milliseconds.
     pub fn hold_ms(&self) -> Millis {
-        self.exchange.session_of(self.id).map_or(0.0, |resume| resume.hold_ms(self.id))
+        self.exchange.session_driver_of(self.id).map_or(0.0, |driver| driver.hold_ms(self.id))
     }
 
-    /// The form host has told the connection's load.
-    pub fn load(&self, pipe: &Pipe, load: f64) {
+    /// Handles the value of a `LOAD` line: the connection's load, or the delay of its messages.
+    pub fn load(&self, pipe: &Pipe, value: f64) {
         let (exchange, request) = (&self.exchange, self.id);
         let now = exchange.clock.now();
-        pipe.waiting.borrow_mut().heard(now);
+        pipe.unanswered.borrow_mut().line_received(now);
         if exchange.tuning.now().tells_delay {
             let mut delays = exchange.delays.borrow_mut();
-            let (stood_at, load_before) = (pipe.stood_at.get(), pipe.load.get());
-            let (delay_at, bound) = (delays.told_at(self.server), delays.bound());
-            let seen = Seen { now, stood_at, load: load_before, delay_at, bound };
-            let meaning = load_line::meaning(load, &seen);
-            if meaning != Meaning::Load {
-                delays.told(self.server, now);
+            let (established_at, previous_load) = (pipe.established_at.get(), pipe.reported_load.get());
+            let (delay_reported_at, report_threshold_ms) =
+                (delays.server_reported_at(self.server), delays.report_threshold_ms());
+            let context =
+                LineContext { now, established_at, previous_load, delay_reported_at, report_threshold_ms };
+            let kind = load_line::classify(value, &context);
+            if kind != LineKind::Load {
+                delays.record_server_report(self.server, now);
                 drop(delays);
-                if meaning == Meaning::Delay {
-                    exchange.core.feed(Event::MessageDelay { request, delay_ms: load });
+                if kind == LineKind::Delay {
+                    exchange.core.feed(Event::MessageDelay { request, delay_ms: value });
                 }
                 return;
             }
         }
-        pipe.load.set(load);
-        exchange.core.feed(Event::ConnectionLoad { request, load });
+        pipe.reported_load.set(value);
+        exchange.core.feed(Event::ConnectionLoad { request, load: value });
     }
 
-    /// The form host has sent another line.
+    /// Reports that the server has sent any other line, which answers the oldest unanswered one.
     pub fn answered(&self, pipe: &Pipe) {
         let now = self.exchange.clock.now();
-        if let Some(took) = pipe.waiting.borrow_mut().answered(now) {
-            self.exchange.delays.borrow_mut().sample(now, self.server, self.id, took);
+        if let Some(round_trip_ms) = pipe.unanswered.borrow_mut().answer_received(now) {
+            self.exchange.delays.borrow_mut().add_sample(now, self.server, self.id, round_trip_ms);
         }
     }
 
-    /// No connection came up in the time for that, and none was refused.
+    /// Reports that a connect to the server timed out without a response.
     pub fn no_connection(&self) {
         self.exchange.core.feed(Event::Silent { server: self.server, sign: Sign::NoConnection });
     }
 
-    /// One try to restore the connection has failed, and another one follows. To be called once its socket is closed.
-    pub fn failed_once(&self, end: AttemptEnd) {
+    /// Records a failed try to restore the connection that is followed by another one. Must be called
+    /// after its socket is closed.
+    pub fn record_failed_try(&self, end: AttemptEnd) {
         let took_ms = self.exchange.clock.now() - self.sent_at;
         if let Some(entry) = self.exchange.entries.borrow_mut().get_mut(&self.id) {
-            entry.record.attempted(AttemptRecord { server: self.server, end, took_ms });
+            entry.record.attempt_ended(AttemptRecord { server: self.server, end, took_ms });
         }
     }
 
-    /// How the attempt ended. To be called once its socket is closed.
+    /// Reports how the attempt ended. Must be called after its socket is closed.
     pub fn end(mut self, end: AttemptEnd) {
         self.end = Some(end);
     }
@@ -222,7 +229,7 @@
     }
 }
 
-/// Tells a probe's result when it is dropped; a failure unless an answer came.
+/// Reports the result of a load probe when dropped: a failure unless an answer was received.
 pub struct ProbeResult {
     pub(super) exchange: Weak<Exchange>,
     pub(super) server: ServerId,
@@ -237,7 +244,7 @@
 }
 
 impl ProbeResult {
-    /// The form host has answered.
+    /// Records the server's answer.
     pub fn answered(&mut self, report: &Report) {
         if let Some(exchange) = self.exchange.upgrade() {
             self.report = report::in_order(report, &exchange.tuning.now().names.report_fields);
@@ -247,7 +254,7 @@
 }
 
 impl ProbeResult {
-    /// No connection came up in the time for that, and none was refused.
+    /// Reports that a connect to the server timed out without a response.
     pub fn no_connection(&self) {
         if let Some(exchange) = self.exchange.upgrade() {
             exchange.core.feed(Event::Silent { server: self.server, sign: Sign::NoConnection });
--- a/node/src/exchange/mod.rs
+++ b/node/src/exchange/mod.rs
@@ -1,9 +1,9 @@
-//! Where the client side and the server side meet.
+//! The exchange connects the client side with the server side.
 //!
-//! The exchange owns each request from its first line to its end: which attempt is out for it,
-//! whether it has had its one final answer, and the rings between its two sockets. The client
-//! side holds a [`RequestHandle`] and the server side an [`AttemptHandle`]; each gives back what it stands for
-//! when it is dropped, however its task ends.
+//! It owns each request from its first line to its end: the attempt that is active for it, whether it has
+//! had its one final answer, and the rings between its two sockets. The client side holds a
+//! [`RequestHandle`] and the server side an [`AttemptHandle`]; dropping a handle releases what it stands
+//! for, no matter how its task ended.
 
 mod commands;
 mod handles;
@@ -11,8 +11,8 @@
 pub mod record;
 pub mod session_driver;
 
-use crate::backend::message_delay::Delays;
-use crate::core::{Core, Requests};
+use crate::backend::message_delay::MessageDelays;
+use crate::core::{Core, RequestActions};
 use crate::io::clock::{Clock, Millis};
 use crate::io::descriptors::{Descriptors, Purpose};
 use crate::io::pump::Between;
@@ -22,7 +22,7 @@
 use crate::protocol::handover::Connection;
 use crate::protocol::line::{self, Opening};
 use crate::protocol::session::{self, FromClient};
-pub use commands::{Adopted, Attempt, Order, Probe, Restores};
+pub use commands::{AdoptedClient, Attempt, BackendCommand, Probe, RestoreRetry};
 pub use handles::{AttemptHandle, ProbeResult, RequestHandle};
 use marllink::{AttemptNo, ClassId, Effect, Event, NewRequest, Outcome, RequestId, ServerId, Sign, TenantId};
 use marllink_sessions::{Ask, Event as SessionEvent};
@@ -36,36 +36,39 @@
 use tokio::net::TcpStream;
 use tokio::sync::{Notify, mpsc};
 
-/// A client's answer is sent so long before it gives up: the way back takes time as well.
+/// Time before a client's deadline at which its answer is sent, in milliseconds: the answer still has to
+/// reach the client.
 const ANSWER_MARGIN_MS: Millis = 10.0;
-/// How long a connection may take to come up that was open before. Such clients say that they wait for over an hour, which would hold a lost one for as long.
-const NO_DEADLINE_MS: Millis = 40_000.0;
-/// A form host that has owed an answer for so long and sent nothing is lost: the connection must
-/// end within 7 s of its last sign of life, and clients send a line every 2 s.
-const SILENT_MS: Millis = 4_500.0;
-/// How often silent connections are looked for.
-const SWEEP_MS: Millis = 100.0;
-/// A form host that owes an answer for so many times the strictest aim may be lost: the decisions are told.
-const DOUBT_AIMS: f64 = 5.0;
+/// Maximum time to restore a connection that was open before, in milliseconds. Its client announces a wait
+/// of over an hour; with that, a lost connection would be kept for as long.
+const MAX_RESTORE_WAIT_MS: Millis = 40_000.0;
+/// A server that has owed an answer for this long without sending anything is unresponsive: its connections
+/// must end within 7 s of its last line, and clients send a line every 2 s.
+const UNRESPONSIVE_MS: Millis = 4_500.0;
+/// Interval between checks for unresponsive servers, in milliseconds.
+const SWEEP_INTERVAL_MS: Millis = 100.0;
+/// A server that owes an answer for this multiple of the strictest message goal is reported to the balancer
+/// as possibly lost.
+const UNANSWERED_GOAL_RATIO: f64 = 5.0;
 
 enum Phase {
     /// The client waits for its final answer.
     Waiting,
-    /// Its connection stands.
-    Standing,
-    /// It has had its final answer, or its connection has ended, or it has left.
-    Over,
+    /// The connection to a server is established.
+    Established,
+    /// The client has had its final answer or has left, or its connection has ended.
+    Ended,
 }
 
-/// An id in use, given back when dropped.
+/// A request id that is in use; released when dropped.
 struct IdInUse {
     id: u64,
     all: Rc<RefCell<HashSet<u64>>>,
 }
 
 impl IdInUse {
-    /// Takes an id; `None` if an open request has it.
-    fn take(id: u64, all: &Rc<RefCell<HashSet<u64>>>) -> Option<Self> {
+    /// Reserves an id; returns `None` if an open request uses it.
+    fn reserve(id: u64, all: &Rc<RefCell<HashSet<u64>>>) -> Option<Self> {
         all.borrow_mut().insert(id).then(|| Self { id, all: all.clone() })
     }
 }
@@ -76,112 +79,112 @@
     }
 }
 
-struct Entry {
-    /// Held until the request is over.
+struct RequestEntry {
+    /// Reserves the client's id until the request has ended.
     _id: IdInUse,
     opening: Rc<Opening>,
     pipe: Rc<Pipe>,
     phase: Phase,
-    /// Attempts made.
-    attempts: u8,
-    /// The attempt that is out.
-    out: Option<Out>,
-    /// One that waits for that to end.
-    next: Option<(ServerId, Millis)>,
+    /// Number of attempts made.
+    attempt_count: u8,
+    /// The attempt in progress.
+    active_attempt: Option<ActiveAttempt>,
+    /// The server and timeout of the next attempt, which starts once the active one has ended.
+    next_attempt: Option<(ServerId, Millis)>,
     /// The client side still holds its request handle.
-    held: bool,
-    /// What the decisions are asked once its session is its own.
-    asks: Option<NewRequest>,
-    /// When it was taken.
-    taken_at: Millis,
+    handle_held: bool,
+    /// Set for a request with a session: the request as it is passed to the balancer once the session has
+    /// been claimed.
+    session_request: Option<NewRequest>,
+    received_at: Millis,
     record: RequestRecord,
 }
 
-struct Out {
+struct ActiveAttempt {
     attempt: AttemptNo,
     server: ServerId,
     cancellation: Rc<Cancellation>,
 }
 
-/// By which an attempt that is out is ended from this side.
+/// Lets the exchange end an attempt that the server side serves.
 #[derive(Default)]
 struct Cancellation {
     outcome: Cell<Option<Outcome>>,
-    called: Notify,
+    triggered: Notify,
 }
 
 impl Cancellation {
-    /// Has the attempt end like this; the first call holds.
-    fn call(&self, outcome: Outcome) {
+    /// Ends the attempt with this outcome; later calls are ignored.
+    fn trigger(&self, outcome: Outcome) {
         self.outcome.set(self.outcome.get().or(Some(outcome)));
-        self.called.notify_one();
+        self.triggered.notify_one();
     }
 }
 
-/// The ways to both sides.
-pub struct Sides {
-    /// Orders for the server side.
-    pub orders: mpsc::UnboundedSender<Order>,
-    /// What the client side adopts.
-    pub adopted: mpsc::UnboundedSender<Adopted>,
+/// The channels to the client side and to the server side.
+pub struct SideChannels {
+    /// Commands for the server side.
+    pub backend_commands: mpsc::UnboundedSender<BackendCommand>,
+    /// Handed-off connections for the client side.
+    pub adopted_clients: mpsc::UnboundedSender<AdoptedClient>,
 }
 
-/// Pairs clients with attempts.
+/// Connects clients' requests with attempts at servers.
 pub struct Exchange {
     core: Rc<Core>,
     clock: Clock,
     directory: Rc<Directory>,
     descriptors: Rc<Descriptors>,
     tuning: Rc<Tuning>,
-    orders: mpsc::UnboundedSender<Order>,
-    adopted: mpsc::UnboundedSender<Adopted>,
-    entries: RefCell<BTreeMap<RequestId, Entry>>,
-    /// The ids, as clients gave them, of requests that are not over.
-    in_use: Rc<RefCell<HashSet<u64>>>,
-    /// Those of a predecessor's.
-    elsewhere: RefCell<HashSet<u64>>,
-    delays: RefCell<Delays>,
-    /// Sessions, where they are switched on.
-    resume: Option<Rc<SessionDriver>>,
-    me: Weak<Exchange>,
+    backend_commands: mpsc::UnboundedSender<BackendCommand>,
+    adopted_clients: mpsc::UnboundedSender<AdoptedClient>,
+    entries: RefCell<BTreeMap<RequestId, RequestEntry>>,
+    /// The ids of open requests, as chosen by the clients.
+    ids_in_use: Rc<RefCell<HashSet<u64>>>,
+    /// The ids of requests that are open at the predecessor process.
+    predecessor_ids: RefCell<HashSet<u64>>,
+    delays: RefCell<MessageDelays>,
+    /// Set if sessions are enabled.
+    session_driver: Option<Rc<SessionDriver>>,
+    weak_self: Weak<Exchange>,
 }
 
 impl Exchange {
-    /// An exchange between both sides. Where there is `resume`, clients may ask for sessions.
+    /// Creates an exchange between both sides. Clients may request sessions if there is a `session_driver`.
     pub fn new(
         core: Rc<Core>,
         clock: Clock,
         directory: Rc<Directory>,
         descriptors: Rc<Descriptors>,
         tuning: Rc<Tuning>,
-        sides: Sides,
-        resume: Option<Rc<SessionDriver>>,
+        side_channels: SideChannels,
+        session_driver: Option<Rc<SessionDriver>>,
     ) -> Rc<Self> {
-        let Sides { orders, adopted } = sides;
-        let delays = RefCell::new(Delays::new(strictest_aim(&tuning)));
-        Rc::new_cyclic(|me| Self {
+        let SideChannels { backend_commands, adopted_clients } = side_channels;
+        let delays = RefCell::new(MessageDelays::new(strictest_message_goal_ms(&tuning)));
+        Rc::new_cyclic(|weak_self| Self {
             core,
             clock,
             directory,
             descriptors,
             tuning,
-            orders,
-            adopted,
+            backend_commands,
+            adopted_clients,
             entries: RefCell::default(),
-            in_use: Rc::default(),
-            elsewhere: RefCell::default(),
+            ids_in_use: Rc::default(),
+            predecessor_ids: RefCell::default(),
             delays,
-            resume,
-            me: me.clone(),
+            session_driver,
+            weak_self: weak_self.clone(),
         })
     }
 
-    /// Takes a client's request. From here on it is owed exactly one final answer, which comes by
-    /// `pipe`. A connection that was open before goes to its form host, once that is known; while
-    /// discovery has told nothing yet it is waited for, and else only for `patience_ms`.
+    /// Accepts a client's request. From here on the client is owed exactly one final answer, which is sent
+    /// through `pipe`. A connection that was open before goes back to its server. If that server is not
+    /// known, the request waits for the first list from discovery and then for `patience_ms` at most.
     ///
     /// # Errors
-    /// Tells what is wrong with a request that no form host may see.
+    /// Returns the reason if no server may receive the request.
     pub async fn open(
         &self,
         opening: Opening,
@@ -190,33 +193,34 @@
     ) -> Result<RequestHandle, &'static str> {
         let settings = self.tuning.now();
         let names = &settings.names;
-        // A class taken for another would be served as what it is not.
-        let class = names.classes.number(&opening.class).ok_or("no such class")?;
+        // Substituting another class would serve the request by the wrong rules.
+        let class = names.classes.number(&opening.class).ok_or("unknown class")?;
         let tenant = match &opening.tenant {
             Some(tenant) if !names.tenants.is_empty() => {
-                names.tenants.number(tenant).ok_or("no such tenant")?
+                names.tenants.number(tenant).ok_or("unknown tenant")?
             }
             _ => 0,
         };
-        // Form hosts tell connections apart by their ids: a second one would be a copy of the first.
-        let id_in_use = IdInUse::take(opening.id, &self.in_use)
-            .filter(|id| !self.elsewhere.borrow().contains(&id.id))
-            .ok_or("the id of an open request")?;
-        let at = opening.at.as_deref().map(|uid| ServerId(line::number_of(uid)));
-        let most = if at.is_some() { NO_DEADLINE_MS } else { f64::INFINITY };
-        let wait_ms = opening.wait_ms.min(most) - ANSWER_MARGIN_MS;
-        let taken_at = self.clock.now();
-        if let Some(server) = at {
+        // Servers identify connections by these ids: a second connection with the same id would be taken
+        // for a copy of the first.
+        let id_in_use = IdInUse::reserve(opening.id, &self.ids_in_use)
+            .filter(|id| !self.predecessor_ids.borrow().contains(&id.id))
+            .ok_or("the request id is in use")?;
+        let previous_server = opening.at.as_deref().map(|uid| ServerId(line::number_of(uid)));
+        let max_wait_ms = if previous_server.is_some() { MAX_RESTORE_WAIT_MS } else { f64::INFINITY };
+        let wait_ms = opening.wait_ms.min(max_wait_ms) - ANSWER_MARGIN_MS;
+        let received_at = self.clock.now();
+        if let Some(server) = previous_server {
             let known = self.directory.known(server);
-            let told = async {
+            let patience_over = async {
                 self.directory.told().await;
                 self.clock.sleep(patience_ms).await;
             };
             tokio::select! {
                 biased;
                 () = known => {}
-                () = told => return Err("no such form host"),
-                () = self.clock.sleep(wait_ms) => return Err("no such form host"),
+                () = patience_over => return Err("unknown server"),
+                () = self.clock.sleep(wait_ms) => return Err("unknown server"),
             }
         }
         let id = self.core.number_request();
@@ -224,31 +228,31 @@
             request: id,
             class: ClassId(class),
             tenant: TenantId(tenant),
-            time_left_ms: wait_ms - (self.clock.now() - taken_at),
+            time_left_ms: wait_ms - (self.clock.now() - received_at),
             retry: opening.retry,
             group: opening.group,
         };
         let time_left_ms = new.time_left_ms;
         let session = opening.session.as_ref().map(|(text, _)| text.clone());
-        pipe.session.set(session.is_some());
-        let entry = Entry {
+        pipe.has_session.set(session.is_some());
+        let entry = RequestEntry {
             _id: id_in_use,
             opening: Rc::new(opening),
             pipe,
             phase: Phase::Waiting,
-            attempts: 0,
-            out: None,
-            next: None,
-            held: true,
-            asks: session.is_some().then(|| new.clone()),
-            taken_at: self.clock.now(),
+            attempt_count: 0,
+            active_attempt: None,
+            next_attempt: None,
+            handle_held: true,
+            session_request: session.is_some().then(|| new.clone()),
+            received_at: self.clock.now(),
             record: RequestRecord::new(self.clock.now()),
         };
         self.entries.borrow_mut().insert(id, entry);
-        match (at, session, &self.resume) {
-            (None, Some(text), Some(resume)) => {
+        match (previous_server, session, &self.session_driver) {
+            (None, Some(text), Some(session_driver)) => {
                 let ask = if text == "new" { Ask::New } else { Ask::Resume(text.into_bytes()) };
-                resume.feed(SessionEvent::Begin { request: id, ask, wait_ms: time_left_ms });
+                session_driver.feed(SessionEvent::Begin { request: id, ask, wait_ms: time_left_ms });
             }
             (None, ..) => self.core.feed(Event::Request(new)),
             (Some(server), ..) => {
@@ -256,163 +260,179 @@
                 self.send(id, server, time_left_ms);
             }
         }
-        let exchange = self.me.upgrade().expect("it is in use");
+        let exchange = self.weak_self.upgrade().expect("the exchange is alive while it is borrowed");
         Ok(RequestHandle { exchange, id, wait_ms: time_left_ms })
     }
 
-    /// Looks for connections whose form host has gone silent, and tells of slow messages.
-    pub async fn watch_over(&self) {
-        let mut told_at = self.clock.now();
+    /// Ends connections to unresponsive servers and reports slow messages to the balancer, forever.
+    pub async fn monitor_servers(&self) {
+        let mut delays_reported_at = self.clock.now();
         loop {
-            self.clock.sleep(SWEEP_MS).await;
+            self.clock.sleep(SWEEP_INTERVAL_MS).await;
             let now = self.clock.now();
-            self.end_silent(now);
-            self.tell_unanswered(now);
-            if now - told_at >= 1_000.0 {
-                told_at = now;
-                self.tell_delays(now);
+            self.end_unresponsive(now);
+            self.report_unanswered(now);
+            if now - delays_reported_at >= 1_000.0 {
+                delays_reported_at = now;
+                self.report_delays(now);
             }
         }
     }
 
-    /// A machine that has vanished says nothing: its connections would stay open for ever.
-    /// For the decisions it is a connection that broke: the host must not look sound to them.
-    fn end_silent(&self, now: Millis) {
-        let silent = |e: &Entry| {
-            matches!(e.phase, Phase::Standing) && e.pipe.waiting.borrow().silent_for(now) > SILENT_MS
+    /// Ends the connections whose server is unresponsive: a machine that has vanished closes nothing, and
+    /// its connections would stay open forever. The balancer sees a broken connection, so that the server
+    /// does not look healthy.
+    fn end_unresponsive(&self, now: Millis) {
+        let unresponsive = |entry: &RequestEntry| {
+            matches!(entry.phase, Phase::Established)
+                && entry.pipe.unanswered.borrow().unresponsive_ms(now) > UNRESPONSIVE_MS
         };
-        for entry in self.entries.borrow_mut().values_mut().filter(|e| silent(e)) {
-            entry.record.over(EndReason::ServerSilent, now);
-            entry.pipe.down.end(End::Reset);
-            if let Some(out) = &entry.out {
-                out.cancellation.call(Outcome::Reset);
+        for entry in self.entries.borrow_mut().values_mut().filter(|entry| unresponsive(entry)) {
+            entry.record.ended(EndReason::ServerSilent, now);
+            entry.pipe.server_to_client.end(End::Reset);
+            if let Some(active) = &entry.active_attempt {
+                active.cancellation.trigger(Outcome::Reset);
             }
         }
     }
 
-    fn tell_unanswered(&self, now: Millis) {
-        let bound = DOUBT_AIMS * strictest_aim(&self.tuning);
-        let owed =
-            |e: &Entry| matches!(e.phase, Phase::Standing) && e.pipe.waiting.borrow().silent_for(now) > bound;
+    fn report_unanswered(&self, now: Millis) {
+        let limit_ms = UNANSWERED_GOAL_RATIO * strictest_message_goal_ms(&self.tuning);
+        let overdue = |entry: &RequestEntry| {
+            matches!(entry.phase, Phase::Established)
+                && entry.pipe.unanswered.borrow().unresponsive_ms(now) > limit_ms
+        };
         let entries = self.entries.borrow();
-        let owing = entries.values().filter(|e| owed(e)).filter_map(|e| e.out.as_ref().map(|out| out.server));
-        let owing: BTreeSet<_> = owing.collect();
+        let servers = entries
+            .values()
+            .filter(|entry| overdue(entry))
+            .filter_map(|entry| entry.active_attempt.as_ref().map(|active| active.server));
+        let servers: BTreeSet<_> = servers.collect();
         drop(entries);
-        for server in owing {
+        for server in servers {
             self.core.feed(Event::Silent { server, sign: Sign::Unanswered });
         }
     }
 
-    fn tell_delays(&self, now: Millis) {
-        let notes = {
+    fn report_delays(&self, now: Millis) {
+        let reports = {
             let entries = self.entries.borrow();
-            let standing = |e: &Entry| matches!(e.phase, Phase::Standing);
-            let waiting = entries.iter().filter(|(_, e)| standing(e)).filter_map(|(id, e)| {
-                Some((e.out.as_ref()?.server, *id, e.pipe.waiting.borrow().oldest(now)?))
+            let established = |entry: &RequestEntry| matches!(entry.phase, Phase::Established);
+            let waiting = entries.iter().filter(|(_, entry)| established(entry)).filter_map(|(id, entry)| {
+                Some((
+                    entry.active_attempt.as_ref()?.server,
+                    *id,
+                    entry.pipe.unanswered.borrow().oldest_wait_ms(now)?,
+                ))
             });
-            self.delays.borrow_mut().notes(now, waiting, |id| entries.get(&id).is_some_and(standing))
+            self.delays.borrow_mut().due_reports(now, waiting, |id| entries.get(&id).is_some_and(established))
         };
-        for (request, delay_ms) in notes {
+        for (request, delay_ms) in reports {
             self.core.feed(Event::MessageDelay { request, delay_ms });
         }
     }
 
-    /// The settings in force have changed.
+    /// Applies changed settings.
     pub fn settings_changed(&self) {
-        self.delays.borrow_mut().tell_over(strictest_aim(&self.tuning));
+        self.delays.borrow_mut().set_strictest_goal(strictest_message_goal_ms(&self.tuning));
     }
 
-    /// The ids of requests that are not over.
+    /// Returns the ids of the open requests, as chosen by the clients.
     pub fn ids_in_use(&self) -> Vec<u64> {
-        let mut ids: Vec<_> = self.in_use.borrow().iter().copied().collect();
+        let mut ids: Vec<_> = self.ids_in_use.borrow().iter().copied().collect();
         ids.sort_unstable();
         ids
     }
 
-    /// These ids are in use at a predecessor.
+    /// Sets the ids of the requests that are open at the predecessor process.
     pub fn set_predecessor_ids(&self, ids: Vec<u64>) {
-        *self.elsewhere.borrow_mut() = ids.into_iter().collect();
+        *self.predecessor_ids.borrow_mut() = ids.into_iter().collect();
     }
 
-    /// Moves so many of the connections that stand, oldest first.
+    /// Asks the clients of the `count` oldest established connections to reconnect.
     pub fn move_oldest(&self, count: usize) {
-        for id in self.ids(|e| matches!(e.phase, Phase::Standing)).into_iter().take(count) {
+        for id in self.ids_where(|entry| matches!(entry.phase, Phase::Established)).into_iter().take(count) {
             self.move_client(id);
         }
     }
 
-    /// Connections that stand.
+    /// Returns the number of established connections.
     pub fn established_count(&self) -> usize {
-        self.entries.borrow().values().filter(|e| matches!(e.phase, Phase::Standing)).count()
+        self.entries.borrow().values().filter(|entry| matches!(entry.phase, Phase::Established)).count()
     }
 
-    /// Has up to `most` connections of which nothing is under way passed on. Here they are over.
-    pub fn hand_off_idle(&self, most: usize, to: &mpsc::UnboundedSender<HandedOffConnection>) {
+    /// Hands off up to `max_count` established connections that have nothing in transit. Their requests end
+    /// here.
+    pub fn hand_off_idle(&self, max_count: usize, sender: &mpsc::UnboundedSender<HandedOffConnection>) {
         let mut entries = self.entries.borrow_mut();
-        let busy = |id| self.resume.as_ref().is_some_and(|resume| resume.is_busy(id));
-        let idle = |(id, e): &(&RequestId, &mut Entry)| {
-            matches!(e.phase, Phase::Standing) && e.pipe.idle() && !busy(**id)
+        let session_busy = |id| self.session_driver.as_ref().is_some_and(|driver| driver.is_busy(id));
+        let idle = |(id, entry): &(&RequestId, &mut RequestEntry)| {
+            matches!(entry.phase, Phase::Established) && entry.pipe.is_idle() && !session_busy(**id)
         };
-        for (id, entry) in entries.iter_mut().filter(idle).take(most) {
-            let Some(out) = &entry.out else { continue };
-            let session = self.resume.as_ref().and_then(|resume| resume.pass_on(*id));
+        for (id, entry) in entries.iter_mut().filter(idle).take(max_count) {
+            let Some(active) = &entry.active_attempt else { continue };
+            let session = self.session_driver.as_ref().and_then(|driver| driver.hand_over(*id));
             let connection = Connection {
                 id: entry.opening.id,
                 class: entry.opening.class.clone(),
                 tenant: entry.opening.tenant.clone(),
                 group: entry.opening.group,
-                server: out.server,
-                load: entry.pipe.load.get(),
+                server: active.server,
+                load: entry.pipe.reported_load.get(),
                 session,
             };
-            let (client, host) = (RefCell::default(), RefCell::default());
+            let (client, server) = (RefCell::default(), RefCell::default());
             *entry.pipe.handoff.borrow_mut() =
-                Some(Rc::new(Handoff { connection, client, host, to: to.clone() }));
-            entry.phase = Phase::Over;
-            entry.record.over(EndReason::HandedOver, self.clock.now());
-            entry.pipe.up.end(End::HandedOver);
-            entry.pipe.down.end(End::HandedOver);
-            out.cancellation.call(Outcome::Cancelled);
+                Some(Rc::new(Handoff { connection, client, server, sender: sender.clone() }));
+            entry.phase = Phase::Ended;
+            entry.record.ended(EndReason::HandedOver, self.clock.now());
+            entry.pipe.client_to_server.end(End::HandedOver);
+            entry.pipe.server_to_client.end(End::HandedOver);
+            active.cancellation.trigger(Outcome::Cancelled);
         }
     }
 
-    /// Goes on with a connection that a predecessor has passed on.
-    pub fn adopt(&self, connection: Connection, client: TcpStream, host: TcpStream) {
+    /// Continues a connection that the predecessor process has handed off.
+    pub fn adopt(&self, connection: Connection, client_socket: TcpStream, server_socket: TcpStream) {
         let Connection { id, class, tenant, group, server, load, session } = connection;
-        // The predecessor may still tell that it holds this id, but it can't be open here.
-        let Some(id_in_use) = IdInUse::take(id, &self.in_use) else { return };
+        // The predecessor may still list this id as its own, but no other request here can have it.
+        let Some(id_in_use) = IdInUse::reserve(id, &self.ids_in_use) else { return };
         let names = &self.tuning.now().names;
-        let number = names.classes.number_once(&class);
-        let of_tenant = tenant.as_ref().and_then(|tenant| names.tenants.number_once(tenant));
-        let (request, exchange) = (self.core.number_request(), self.me.upgrade().expect("it is in use"));
+        let class_number = names.classes.number_once(&class);
+        let tenant_number = tenant.as_ref().and_then(|tenant| names.tenants.number_once(tenant));
+        let (request, exchange) = (
+            self.core.number_request(),
+            self.weak_self.upgrade().expect("the exchange is alive while it is borrowed"),
+        );
         let pipe = Pipe::new();
-        pipe.standing.set(true);
-        pipe.load.set(load);
+        pipe.established.set(true);
+        pipe.reported_load.set(load);
         let cancellation = Rc::new(Cancellation::default());
         let attempt = AttemptNo(0);
-        let entry = Entry {
+        let entry = RequestEntry {
             _id: id_in_use,
             opening: Rc::new(Opening::standing(id, class, tenant, group)),
             pipe: pipe.clone(),
-            phase: Phase::Standing,
-            attempts: 1,
-            out: Some(Out { attempt, server, cancellation: cancellation.clone() }),
-            next: None,
-            held: true,
-            asks: session.is_some().then(NewRequest::default),
-            taken_at: self.clock.now(),
+            phase: Phase::Established,
+            attempt_count: 1,
+            active_attempt: Some(ActiveAttempt { attempt, server, cancellation: cancellation.clone() }),
+            next_attempt: None,
+            handle_held: true,
+            session_request: session.is_some().then(NewRequest::default),
+            received_at: self.clock.now(),
             record: RequestRecord::new(self.clock.now()),
         };
-        pipe.session.set(session.is_some());
+        pipe.has_session.set(session.is_some());
         self.entries.borrow_mut().insert(request, entry);
-        // A class that was withdrawn before this process began has no number here, and counts as any.
-        let class = ClassId(number.unwrap_or(u16::MAX));
-        let tenant = TenantId(of_tenant.unwrap_or(u16::MAX));
+        // A class that was removed from the settings before this process started has no number; an
+        // out-of-range number makes the balancer use its defaults.
+        let class = ClassId(class_number.unwrap_or(u16::MAX));
+        let tenant = TenantId(tenant_number.unwrap_or(u16::MAX));
         let new = NewRequest { request, class, tenant, group, ..NewRequest::default() };
         self.core.feed(Event::OpenConnection { request: new, server });
         self.core.feed(Event::ConnectionLoad { request, load });
-        if let (Some(passed), Some(resume)) = (session, &self.resume) {
-            resume.feed(SessionEvent::Adopt { request, server, passed });
+        if let (Some(passed), Some(session_driver)) = (session, &self.session_driver) {
+            session_driver.feed(SessionEvent::Adopt { request, server, passed });
         }
         let request_handle =
             RequestHandle { exchange: exchange.clone(), id: request, wait_ms: f64::INFINITY };
@@ -425,37 +445,50 @@
             cancellation,
             sent_at,
             end,
-            asked: Cell::default(),
+            lease_requested: Cell::default(),
         };
         let descriptor = self.descriptors.adopt();
-        let _ = self.orders.send(Order::Standing { socket: host, pipe: pipe.clone(), handle, descriptor });
+        let _ = self.backend_commands.send(BackendCommand::Established {
+            socket: server_socket,
+            pipe: pipe.clone(),
+            handle,
+            descriptor,
+        });
         let descriptor = self.descriptors.adopt();
-        let _ = self.adopted.send(Adopted { socket: client, request_handle, pipe, descriptor });
+        let _ = self.adopted_clients.send(AdoptedClient {
+            socket: client_socket,
+            request_handle,
+            pipe,
+            descriptor,
+        });
     }
 
-    /// Sessions, where they are switched on.
+    /// Returns the session driver if sessions are enabled.
     pub fn session_driver(&self) -> Option<&Rc<SessionDriver>> {
-        self.resume.as_ref()
+        self.session_driver.as_ref()
     }
 
-    /// True if clients may ask for sessions.
-    pub fn resumes(&self) -> bool {
-        self.resume.is_some()
+    /// Returns true if clients may request sessions.
+    pub fn sessions_enabled(&self) -> bool {
+        self.session_driver.is_some()
     }
 
-    /// The request's session is its own: the decisions are asked, as for any other.
+    /// Passes a request to the balancer once its session has been claimed.
     fn proceed(&self, id: RequestId) {
         let now = self.clock.now();
-        let asks = self.entries.borrow().get(&id).filter(|e| matches!(e.phase, Phase::Waiting)).map(|e| {
-            let asks = e.asks.clone().unwrap_or_default();
-            NewRequest { time_left_ms: asks.time_left_ms - (now - e.taken_at), ..asks }
-        });
-        if let Some(asks) = asks {
-            self.core.feed(Event::Request(asks));
+        let request =
+            self.entries.borrow().get(&id).filter(|entry| matches!(entry.phase, Phase::Waiting)).map(
+                |entry| {
+                    let request = entry.session_request.clone().unwrap_or_default();
+                    NewRequest { time_left_ms: request.time_left_ms - (now - entry.received_at), ..request }
+                },
+            );
+        if let Some(request) = request {
+            self.core.feed(Event::Request(request));
         }
     }
 
-    fn refuse_session(&self, id: RequestId, retry_after_ms: Millis) {
+    fn reject_session(&self, id: RequestId, retry_after_ms: Millis) {
         self.answer(id, line::busy(retry_after_ms), EndReason::Session);
         self.core.feed(Event::ClientGone(id));
     }
@@ -465,93 +498,95 @@
         self.core.feed(Event::ClientGone(id));
     }
 
-    /// Ends a connection that stands with a last line.
-    fn end_session(&self, id: RequestId, last: &str) {
+    /// Ends an established connection with a closing message.
+    fn end_session(&self, id: RequestId, closing_message: &str) {
         let mut entries = self.entries.borrow_mut();
         let Some(entry) = entries.get_mut(&id) else { return };
-        if matches!(entry.phase, Phase::Standing) {
-            self.finish(entry, End::ClosingMessage(last.into()), EndReason::Session);
+        if matches!(entry.phase, Phase::Established) {
+            self.finish(entry, End::ClosingMessage(closing_message.into()), EndReason::Session);
             drop(entries);
-            self.closed(id);
+            self.request_closed(id);
             self.core.feed(Event::ClientGone(id));
         }
     }
 
-    /// Has lines of the balancer's own come between two others.
-    fn tell(&self, id: RequestId, lines: &[u8], way: impl Fn(&Pipe) -> &Between) {
-        let pipe = self.entries.borrow().get(&id).map(|e| e.pipe.clone());
+    /// Inserts lines of the balancer between two lines of the connection, in the direction that `queue`
+    /// selects.
+    fn insert_lines(&self, id: RequestId, lines: &[u8], queue: impl Fn(&Pipe) -> &Between) {
+        let pipe = self.entries.borrow().get(&id).map(|entry| entry.pipe.clone());
         if let Some(pipe) = pipe
-            && !way(&pipe).add(lines)
+            && !queue(&pipe).add(lines)
         {
-            // The other side does not read: there is nothing for it in going on.
+            // The queue is full because the receiver has stopped reading; the connection is of no use to it.
             self.end_session(id, "MOVE\r\n");
         }
     }
 
-    /// The machine that decides about sessions hears that a request is over.
-    fn closed(&self, id: RequestId) {
-        if let Some(resume) = &self.resume {
-            resume.feed(SessionEvent::Closed { request: id });
+    /// Notifies the session driver that a request has ended.
+    fn request_closed(&self, id: RequestId) {
+        if let Some(session_driver) = &self.session_driver {
+            session_driver.feed(SessionEvent::Closed { request: id });
         }
     }
 
-    /// The ways of lines about a session, if this request has one.
-    fn session_of(&self, id: RequestId) -> Option<&Rc<SessionDriver>> {
-        let has = self.entries.borrow().get(&id).is_some_and(|e| e.pipe.session.get());
-        self.resume.as_ref().filter(|_| has)
+    /// Returns the session driver if the request has a session.
+    fn session_driver_of(&self, id: RequestId) -> Option<&Rc<SessionDriver>> {
+        let has_session = self.entries.borrow().get(&id).is_some_and(|entry| entry.pipe.has_session.get());
+        self.session_driver.as_ref().filter(|_| has_session)
     }
 
-    /// Takes the lines of a session's client, as far as there is room for its saves. False if one is too
-    /// long.
-    fn client_said(&self, id: RequestId, pipe: &Pipe) -> bool {
-        let Some(resume) = self.session_of(id) else { return true };
-        while resume.has_room(id)
-            && let Some(text) = pipe.up.line()
+    /// Processes the lines of a session's client while there is room for its saves. Returns false if a line
+    /// is too long.
+    fn forward_session_lines(&self, id: RequestId, pipe: &Pipe) -> bool {
+        let Some(session_driver) = self.session_driver_of(id) else { return true };
+        while session_driver.has_room(id)
+            && let Some(line) = pipe.client_to_server.line()
         {
-            match session::from_client(&text) {
+            match session::from_client(&line) {
                 Some(FromClient::Save(field)) => {
-                    pipe.up.take(text.len());
-                    resume.feed(SessionEvent::Saves { request: id, field });
+                    pipe.client_to_server.take(line.len());
+                    session_driver.feed(SessionEvent::Saves { request: id, field });
                 }
                 Some(FromClient::Have) => {
-                    pipe.up.take(text.len());
-                    resume.feed(SessionEvent::Has { request: id });
+                    pipe.client_to_server.take(line.len());
+                    session_driver.feed(SessionEvent::Has { request: id });
                 }
                 None => {
-                    pipe.waiting.borrow_mut().sent(self.clock.now());
-                    pipe.up.commit(text.len());
+                    pipe.unanswered.borrow_mut().line_sent(self.clock.now());
+                    pipe.client_to_server.commit(line.len());
                 }
             }
         }
-        pipe.up.held() <= line::LONGEST || pipe.up.line().is_some()
+        pipe.client_to_server.held() <= line::LONGEST || pipe.client_to_server.line().is_some()
     }
 
-    /// Has every request that still waits get its final answer.
+    /// Sends the final answer to every request that still waits for it.
     pub fn answer_all_waiting(&self) {
-        for id in self.ids(|e| matches!(e.phase, Phase::Waiting)) {
+        for id in self.ids_where(|entry| matches!(entry.phase, Phase::Waiting)) {
             self.answer_now(id);
         }
     }
 
-    /// Has a request get its final answer now, if it still waits for that.
+    /// Sends the final answer to a request now, if it still waits for it.
     fn answer_now(&self, id: RequestId) {
         self.core.feed(Event::AnswerNow(id));
-        // The decisions do not know one whose session is not its own yet; nothing was sent on for it.
-        let unsent = self.entries.borrow().get(&id).is_none_or(|e| e.attempts == 0);
+        // The balancer does not know a request whose session has not been claimed yet; that request was not
+        // sent to any server.
+        let unsent = self.entries.borrow().get(&id).is_none_or(|entry| entry.attempt_count == 0);
         let line = if unsent { line::busy(0.0) } else { "ERR\r\n".into() };
         self.answer(id, line, EndReason::AnsweredAtOnce);
     }
 
-    fn ids(&self, wanted: impl Fn(&Entry) -> bool) -> Vec<RequestId> {
-        self.entries.borrow().iter().filter(|(_, e)| wanted(e)).map(|(id, _)| *id).collect()
+    fn ids_where(&self, predicate: impl Fn(&RequestEntry) -> bool) -> Vec<RequestId> {
+        self.entries.borrow().iter().filter(|(_, entry)| predicate(entry)).map(|(id, _)| *id).collect()
     }
 
-    /// Requests that are not over yet.
+    /// Returns the number of requests that have not been cleaned up yet.
     pub fn request_count(&self) -> usize {
         self.entries.borrow().len()
     }
 
-    /// Gives the final answer, if the client is still owed one.
+    /// Sends the final answer if the client is still owed one.
     fn answer(&self, id: RequestId, line: String, reason: EndReason) {
         let mut entries = self.entries.borrow_mut();
         let Some(entry) = entries.get_mut(&id) else { return };
@@ -560,88 +595,91 @@
         }
         self.finish(entry, End::ClosingMessage(line), reason);
         drop(entries);
-        self.closed(id);
-        self.forget(id);
+        self.request_closed(id);
+        self.remove_if_done(id);
     }
 
-    /// The client side is done with a request.
+    /// Handles the drop of a request handle: the client side is done with the request.
     fn client_left(&self, id: RequestId) {
         let mut entries = self.entries.borrow_mut();
         let Some(entry) = entries.get_mut(&id) else { return };
-        entry.held = false;
-        let left = !matches!(entry.phase, Phase::Over);
-        let waits = matches!(entry.phase, Phase::Waiting);
-        let reason = if waits { EndReason::ClientCancelled } else { EndReason::ClientClosed };
+        entry.handle_held = false;
+        let left_early = !matches!(entry.phase, Phase::Ended);
+        let waiting = matches!(entry.phase, Phase::Waiting);
+        let reason = if waiting { EndReason::ClientCancelled } else { EndReason::ClientClosed };
         self.finish(entry, End::Reset, reason);
         drop(entries);
-        if left {
-            self.closed(id);
+        if left_early {
+            self.request_closed(id);
             self.core.feed(Event::ClientGone(id));
         }
-        self.forget(id);
+        self.remove_if_done(id);
     }
 
-    /// An attempt is over, and its socket closed.
+    /// Handles the end of an attempt, whose socket is closed by now.
     fn attempt_ended(&self, id: RequestId, attempt: AttemptNo, record: AttemptRecord) {
         let outcome = record.end.outcome;
         let mut entries = self.entries.borrow_mut();
         let Some(entry) = entries.get_mut(&id) else { return };
-        entry.record.attempted(record);
-        entry.out = None;
-        if matches!(entry.phase, Phase::Standing) || outcome == Outcome::Ok {
-            // What the form host sent last goes out first. A broken stream has ended for its
-            // client as well; nothing may follow it.
+        entry.record.attempt_ended(record);
+        entry.active_attempt = None;
+        if matches!(entry.phase, Phase::Established) || outcome == Outcome::Ok {
+            // What the server sent last is still delivered before a close. After a broken stream nothing
+            // more may reach the client, whose connection is reset as well.
             let (end, reason) = match outcome {
                 Outcome::Reset => (End::Reset, EndReason::ServerBroke),
                 _ => (End::Closed, EndReason::ServerClosed),
             };
             self.finish(entry, end, reason);
         }
-        let closed = matches!(entry.phase, Phase::Over);
-        let next = entry.next.take();
-        let session = entry.asks.is_some();
+        let closed = matches!(entry.phase, Phase::Ended);
+        let next_attempt = entry.next_attempt.take();
+        let has_session = entry.session_request.is_some();
         drop(entries);
-        if let Some(resume) = self.resume.as_ref().filter(|_| session) {
-            resume.feed(SessionEvent::AttemptEnded { request: id, over: outcome == Outcome::Ok });
+        if let Some(session_driver) = self.session_driver.as_ref().filter(|_| has_session) {
+            session_driver.feed(SessionEvent::AttemptEnded { request: id, over: outcome == Outcome::Ok });
             if closed {
-                self.closed(id);
+                self.request_closed(id);
             }
         }
         self.core.feed(Event::AttemptEnded { request: id, attempt, outcome, closed });
-        if let Some((server, timeout_ms)) = next {
+        if let Some((server, timeout_ms)) = next_attempt {
             self.send(id, server, timeout_ms);
         }
-        self.forget(id);
+        self.remove_if_done(id);
     }
 
-    /// Ends a request for both sides: the client gets the end given, the attempt is called off.
-    fn finish(&self, entry: &mut Entry, end: End, reason: EndReason) {
+    /// Ends a request on both sides: the client's direction gets the given end, the attempt is cancelled.
+    fn finish(&self, entry: &mut RequestEntry, end: End, reason: EndReason) {
         let reset = end == End::Reset;
-        entry.record.over(reason, self.clock.now());
-        entry.phase = Phase::Over;
-        entry.next = None;
-        entry.pipe.down.end(end);
-        entry.pipe.up.end(if reset { End::Reset } else { End::Closed });
-        if let Some(out) = &entry.out {
-            out.cancellation.call(Outcome::Cancelled);
+        entry.record.ended(reason, self.clock.now());
+        entry.phase = Phase::Ended;
+        entry.next_attempt = None;
+        entry.pipe.server_to_client.end(end);
+        entry.pipe.client_to_server.end(if reset { End::Reset } else { End::Closed });
+        if let Some(active) = &entry.active_attempt {
+            active.cancellation.trigger(Outcome::Cancelled);
         }
     }
 
-    /// How attempts to restore a connection of this class may be repeated.
-    fn restores(&self, class: &str) -> Restores {
+    /// Returns which failed attempts to restore a connection of this class may be repeated.
+    fn restore_retry(&self, class: &str) -> RestoreRetry {
         let settings = self.tuning.now();
         let number = settings.names.classes.number(class);
         let class = number.and_then(|number| settings.decisions.classes.get(usize::from(number)));
         match class.map(|class| class.effect) {
-            Some(Effect::Safe) => Restores::Always,
-            Some(_) | None => Restores::IfNeverRan,
+            Some(Effect::Safe) => RestoreRetry::Always,
+            Some(_) | None => RestoreRetry::IfNeverRan,
         }
     }
 
-    /// Gives up the entry of a request that is over and of which neither side holds anything.
-    fn forget(&self, id: RequestId) {
+    /// Removes the entry of a request that has ended and is no longer used by either side, and logs its
+    /// record.
+    fn remove_if_done(&self, id: RequestId) {
         let mut entries = self.entries.borrow_mut();
-        let done = |e: &Entry| matches!(e.phase, Phase::Over) && e.out.is_none() && !e.held;
+        let done = |entry: &RequestEntry| {
+            matches!(entry.phase, Phase::Ended) && entry.active_attempt.is_none() && !entry.handle_held
+        };
         if entries.get(&id).is_some_and(done)
             && let Some(entry) = entries.remove(&id)
         {
@@ -650,78 +688,81 @@
     }
 }
 
-fn strictest_aim(tuning: &Tuning) -> Millis {
+fn strictest_message_goal_ms(tuning: &Tuning) -> Millis {
     let settings = tuning.now();
-    let aims = settings.decisions.classes.iter().map(|c| c.message_aim_ms).filter(|aim| *aim > 0.0);
-    aims.fold(f64::INFINITY, f64::min)
+    let goals =
+        settings.decisions.classes.iter().map(|class| class.message_aim_ms).filter(|goal| *goal > 0.0);
+    goals.fold(f64::INFINITY, f64::min)
 }
 
-impl Requests for Exchange {
+impl RequestActions for Exchange {
     fn send(&self, id: RequestId, server: ServerId, timeout_ms: Millis) {
         let mut entries = self.entries.borrow_mut();
         let Some(entry) = entries.get_mut(&id) else { return };
-        if let Some(out) = &entry.out {
-            // One attempt out at a time: this one goes out once the other's socket is closed.
-            out.cancellation.call(Outcome::Cancelled);
-            entry.next = Some((server, timeout_ms));
+        if let Some(active) = &entry.active_attempt {
+            // Only one attempt may be active: this one starts after the other one's socket is closed.
+            active.cancellation.trigger(Outcome::Cancelled);
+            entry.next_attempt = Some((server, timeout_ms));
             return;
         }
-        let attempt = AttemptNo(entry.attempts);
-        entry.attempts = entry.attempts.saturating_add(1);
+        let attempt = AttemptNo(entry.attempt_count);
+        entry.attempt_count = entry.attempt_count.saturating_add(1);
         let allowed = matches!(entry.phase, Phase::Waiting)
-            && entry.attempts <= self.tuning.now().decisions.limits.max_attempts.max(1);
-        let way = self.directory.address(server).filter(|_| allowed);
+            && entry.attempt_count <= self.tuning.now().decisions.limits.max_attempts.max(1);
+        let address = self.directory.address(server).filter(|_| allowed);
         let Some((address, descriptor)) =
-            way.and_then(|a| Some((a, self.descriptors.take(Purpose::Served)?)))
+            address.and_then(|address| Some((address, self.descriptors.take(Purpose::Served)?)))
         else {
-            let closed = matches!(entry.phase, Phase::Over);
+            let closed = matches!(entry.phase, Phase::Ended);
             let outcome = Outcome::NotSent;
             let end = AttemptEnd::new(outcome, AttemptCause::NotSent);
-            entry.record.attempted(AttemptRecord { server, end, took_ms: 0.0 });
+            entry.record.attempt_ended(AttemptRecord { server, end, took_ms: 0.0 });
             drop(entries);
             self.core.feed(Event::AttemptEnded { request: id, attempt, outcome, closed });
             return;
         };
         let cancellation = Rc::new(Cancellation::default());
-        entry.out = Some(Out { attempt, server, cancellation: cancellation.clone() });
+        entry.active_attempt = Some(ActiveAttempt { attempt, server, cancellation: cancellation.clone() });
         let handle = AttemptHandle {
-            exchange: self.me.upgrade().expect("it is in use"),
+            exchange: self.weak_self.upgrade().expect("the exchange is alive while it is borrowed"),
             id,
             attempt,
             server,
             cancellation,
             sent_at: self.clock.now(),
             end: None,
-            asked: Cell::default(),
+            lease_requested: Cell::default(),
         };
         let (opening, pipe) = (entry.opening.clone(), entry.pipe.clone());
-        let session = entry.asks.is_some();
+        let has_session = entry.session_request.is_some();
         drop(entries);
-        let held_as = self.resume.as_ref().filter(|_| session).and_then(|resume| {
-            // What was meant for the form host of an earlier attempt, a lease above all, is not for this one.
-            drop(pipe.to_host.take());
-            resume.feed(SessionEvent::Attempt { request: id, server });
-            resume.held_as(id)
-        });
-        let restores = opening.at.is_some().then(|| self.restores(&opening.class));
+        let session_ballot =
+            self.session_driver.as_ref().filter(|_| has_session).and_then(|session_driver| {
+                // Lines for the server of an earlier attempt, a lease in particular, are not for this one.
+                drop(pipe.inserted_to_server.take());
+                session_driver.feed(SessionEvent::Attempt { request: id, server });
+                session_driver.session_ballot(id)
+            });
+        let restore_retry = opening.at.is_some().then(|| self.restore_retry(&opening.class));
         let wait_ms = timeout_ms;
-        let attempt = Attempt { held_as, address, opening, wait_ms, restores, pipe, handle, descriptor };
-        // If the server side has ended, so has the program; the handle's drop ends the attempt.
-        let _ = self.orders.send(Order::Attempt(attempt));
+        let attempt =
+            Attempt { session_ballot, address, opening, wait_ms, restore_retry, pipe, handle, descriptor };
+        // The server side only ends together with the process; then dropping the handle ends the attempt.
+        let _ = self.backend_commands.send(BackendCommand::Attempt(attempt));
     }
 
     fn cancel(&self, id: RequestId, attempt: AttemptNo) {
         let entries = self.entries.borrow();
         let Some(entry) = entries.get(&id) else { return };
-        // One whose stream has begun is not called off.
-        if let Some(out) = entry.out.as_ref().filter(|o| o.attempt == attempt)
-            && !matches!(entry.phase, Phase::Standing)
+        // An established connection is not cancelled.
+        if let Some(active) = entry.active_attempt.as_ref().filter(|active| active.attempt == attempt)
+            && !matches!(entry.phase, Phase::Established)
         {
-            out.cancellation.call(Outcome::Cancelled);
+            active.cancellation.trigger(Outcome::Cancelled);
         }
     }
 
-    fn refuse(&self, id: RequestId, retry_after_ms: Millis) {
+    fn reject(&self, id: RequestId, retry_after_ms: Millis) {
         self.answer(id, line::busy(retry_after_ms), EndReason::Rejected);
     }
 
@@ -732,20 +773,20 @@
     fn move_client(&self, id: RequestId) {
         let mut entries = self.entries.borrow_mut();
         let Some(entry) = entries.get_mut(&id) else { return };
-        if matches!(entry.phase, Phase::Standing) {
+        if matches!(entry.phase, Phase::Established) {
             self.finish(entry, End::ClosingMessage("MOVE\r\n".into()), EndReason::Moved);
             drop(entries);
-            self.closed(id);
+            self.request_closed(id);
         }
     }
 
     fn probe(&self, server: ServerId) {
-        let result = ProbeResult { exchange: self.me.clone(), server, ok: false, report: Vec::new() };
-        let way = self.directory.address(server);
+        let result = ProbeResult { exchange: self.weak_self.clone(), server, ok: false, report: Vec::new() };
+        let address = self.directory.address(server);
         if let Some((address, descriptor)) =
-            way.and_then(|a| Some((a, self.descriptors.take(Purpose::Served)?)))
+            address.and_then(|address| Some((address, self.descriptors.take(Purpose::Served)?)))
         {
-            let _ = self.orders.send(Order::Probe(Probe { address, result, descriptor }));
+            let _ = self.backend_commands.send(BackendCommand::Probe(Probe { address, result, descriptor }));
         }
     }
 }
--- a/node/src/exchange/pipe.rs
+++ b/node/src/exchange/pipe.rs
@@ -1,6 +1,6 @@
-//! The two directions of a connection, and its sockets on their way to another process.
+//! The two directions of a connection, and the handoff of its sockets to another process.
 
-use crate::backend::message_delay::Waiting;
+use crate::backend::message_delay::UnansweredLines;
 use crate::io::clock::Millis;
 use crate::io::descriptors::Descriptor;
 use crate::io::pump::Between;
@@ -16,128 +16,129 @@
 /// The two directions of a connection.
 #[derive(Debug)]
 pub struct Pipe {
-    /// From the client to its form host.
-    pub up: Ring,
-    /// From the form host to the client.
-    pub down: Ring,
-    pub(super) standing: Cell<bool>,
-    pub(super) waiting: RefCell<Waiting>,
-    /// When it began to stand, in ms on the node's clock; 0 for long ago.
-    pub(super) stood_at: Cell<Millis>,
-    /// Its load, as last told.
-    pub(super) load: Cell<f64>,
-    /// What the form host has said of the connection's end, if that was its last line.
-    pub last_word: Cell<Option<Outcome>>,
-    /// The connection has a session: lines of the balancer's own come between those of both sides.
-    pub session: Cell<bool>,
-    /// Such lines for the form host ...
-    pub to_host: Between,
-    /// ... and for the client.
-    pub to_client: Between,
+    /// Bytes from the client to its server.
+    pub client_to_server: Ring,
+    /// Bytes from the server to the client.
+    pub server_to_client: Ring,
+    pub(super) established: Cell<bool>,
+    pub(super) unanswered: RefCell<UnansweredLines>,
+    /// When the connection was established, in milliseconds on the node's clock; 0 if that is unknown
+    /// because the connection was handed over.
+    pub(super) established_at: Cell<Millis>,
+    /// The load of the connection that its server last reported.
+    pub(super) reported_load: Cell<f64>,
+    /// The outcome that the server's last line announced, if that line was a closing message.
+    pub closing_outcome: Cell<Option<Outcome>>,
+    /// The connection has a session: the balancer inserts lines of its own between those of both sides.
+    pub has_session: Cell<bool>,
+    /// Lines that the balancer inserts towards the server.
+    pub inserted_to_server: Between,
+    /// Lines that the balancer inserts towards the client.
+    pub inserted_to_client: Between,
     pub(super) handoff: RefCell<Option<Rc<Handoff>>>,
 }
 
 impl Pipe {
-    /// Two empty rings.
+    /// Creates a pipe with two empty rings.
     pub fn new() -> Rc<Self> {
         Rc::new(Self {
-            up: Ring::new(),
-            down: Ring::new(),
-            standing: Cell::default(),
-            waiting: RefCell::default(),
-            stood_at: Cell::default(),
-            load: Cell::default(),
-            last_word: Cell::default(),
-            session: Cell::default(),
-            to_host: Between::default(),
-            to_client: Between::default(),
+            client_to_server: Ring::new(),
+            server_to_client: Ring::new(),
+            established: Cell::default(),
+            unanswered: RefCell::default(),
+            established_at: Cell::default(),
+            reported_load: Cell::default(),
+            closing_outcome: Cell::default(),
+            has_session: Cell::default(),
+            inserted_to_server: Between::default(),
+            inserted_to_client: Between::default(),
             handoff: RefCell::default(),
         })
     }
 
-    /// True once another process goes on with the connection.
+    /// Returns true once the connection is being handed to another process.
     pub fn handed_over(&self) -> bool {
         self.handoff.borrow().is_some()
     }
 
-    /// True if another process could go on with the connection from here.
-    pub(super) fn idle(&self) -> bool {
-        self.up.idle()
-            && self.down.idle()
-            && self.to_host.is_empty()
-            && self.to_client.is_empty()
-            && self.waiting.borrow().none()
-            && self.last_word.get().is_none()
+    /// Returns true if nothing is in transit, so that another process could continue the connection.
+    pub(super) fn is_idle(&self) -> bool {
+        self.client_to_server.idle()
+            && self.server_to_client.idle()
+            && self.inserted_to_server.is_empty()
+            && self.inserted_to_client.is_empty()
+            && self.unanswered.borrow().is_empty()
+            && self.closing_outcome.get().is_none()
     }
 
-    /// Gives the client's socket back, once nothing is done with it any more: it is closed, or passed
-    /// on with the connection.
+    /// Releases the client's socket after its last use: closes it, or hands it off with the connection.
     pub fn release_client(&self, socket: TcpStream, descriptor: Descriptor) {
-        self.part(socket, descriptor, |handoff| &handoff.client);
+        self.release(socket, descriptor, |handoff| &handoff.client);
     }
 
-    /// The same for the form host's.
+    /// Releases the server's socket in the same way.
     pub fn release_server(&self, socket: TcpStream, descriptor: Descriptor) {
-        self.part(socket, descriptor, |handoff| &handoff.host);
+        self.release(socket, descriptor, |handoff| &handoff.server);
     }
 
-    fn part(
+    fn release(
         &self,
         socket: TcpStream,
         descriptor: Descriptor,
-        end: impl Fn(&Handoff) -> &RefCell<Option<HandedOffSocket>>,
+        slot: impl Fn(&Handoff) -> &RefCell<Option<HandedOffSocket>>,
     ) {
         let handoff = self.handoff.borrow().clone();
         match handoff.map(|handoff| (handoff, socket.into_std())) {
             Some((handoff, Ok(socket))) => {
-                end(&handoff).replace(Some((socket.into(), descriptor)));
-                handoff.pass();
+                slot(&handoff).replace(Some((socket.into(), descriptor)));
+                handoff.try_complete();
             }
-            // The count is given back after the socket.
+            // The socket is closed by now, so its descriptor can be returned to the pool.
             _ => drop(descriptor),
         }
     }
 
-    /// True once the form host has taken the connection.
-    pub fn standing(&self) -> bool {
-        self.standing.get()
+    /// Returns true once the server has accepted the connection.
+    pub fn is_established(&self) -> bool {
+        self.established.get()
     }
 }
 
-/// A socket that is passed on, and the count that goes back once it is closed here.
+/// A socket that is handed off, and its descriptor, which returns to the pool once the socket is closed
+/// in this process.
 pub type HandedOffSocket = (OwnedFd, Descriptor);
 
-/// A connection on its way to another process.
+/// A connection that is handed off to another process.
 #[derive(Debug)]
 pub struct HandedOffConnection {
-    /// What it is.
+    /// Describes the connection to the other process.
     pub connection: Connection,
-    /// The client's socket and the form host's.
+    /// The client's socket and the server's.
     pub sockets: [HandedOffSocket; 2],
 }
 
-/// Waits for both sides to give their sockets back.
+/// A handoff that waits for the tasks of both sides to release their sockets.
 #[derive(Debug)]
 pub(super) struct Handoff {
     pub(super) connection: Connection,
     pub(super) client: RefCell<Option<HandedOffSocket>>,
-    pub(super) host: RefCell<Option<HandedOffSocket>>,
-    pub(super) to: mpsc::UnboundedSender<HandedOffConnection>,
+    pub(super) server: RefCell<Option<HandedOffSocket>>,
+    pub(super) sender: mpsc::UnboundedSender<HandedOffConnection>,
 }
 
 impl Handoff {
-    fn pass(&self) {
-        match (self.client.take(), self.host.take()) {
-            (Some(client), Some(host)) => {
-                // If nobody takes it, it is closed.
-                let _ = self.to.send(HandedOffConnection {
+    fn try_complete(&self) {
+        match (self.client.take(), self.server.take()) {
+            (Some(client), Some(server)) => {
+                // If the receiver is gone, the connection is closed.
+                let _ = self.sender.send(HandedOffConnection {
                     connection: self.connection.clone(),
-                    sockets: [client, host],
+                    sockets: [client, server],
                 });
             }
-            (client, host) => {
+            (client, server) => {
                 self.client.replace(client);
-                self.host.replace(host);
+                self.server.replace(server);
             }
         }
     }
--- a/node/src/exchange/record.rs
+++ b/node/src/exchange/record.rs
@@ -1,136 +1,136 @@
-//! What is written down of each request: its attempts, why it ended, and how long that took.
+//! The log record of a request: its attempts, why it ended, and how long it took.
 
 use crate::io::clock::Millis;
 use crate::io::connect::ConnectError;
 use marllink::{Outcome, ServerId};
 use std::io;
 
-/// Why a request is over.
+/// Why a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndReason {
-    /// Its server has ended the connection after its closing message.
+    /// The server closed the connection after its closing message.
     ServerClosed,
-    /// Its connection to the server broke after it was established.
+    /// The established connection to the server broke.
     ServerBroke,
-    /// Its server has fallen silent.
+    /// The server stopped responding.
     ServerSilent,
-    /// The client has ended its established connection.
+    /// The client closed its established connection.
     ClientClosed,
-    /// The client left before its answer.
+    /// The client closed the connection before its answer.
     ClientCancelled,
-    /// The client sent something before its answer.
+    /// The client sent data before its answer, which the protocol does not allow.
     ClientMalformed,
-    /// The decisions rejected it.
+    /// The balancer rejected the request.
     Rejected,
-    /// The decisions failed it.
+    /// The balancer failed the request.
     Failed,
-    /// Its client's time was over, or the process ends.
+    /// The client's deadline passed, or the process shuts down.
     AnsweredAtOnce,
-    /// The client was told to move.
+    /// The client was asked to reconnect.
     Moved,
-    /// Its session was rejected, failed or ended.
+    /// The session was rejected, failed or ended.
     Session,
-    /// Another process goes on with it.
+    /// The connection was handed over to another process.
     HandedOver,
 }
 
 impl EndReason {
-    /// True for an end that is no trouble to anybody.
+    /// Returns true for an end that indicates no failure and no rejection.
     pub fn is_ordinary(self) -> bool {
         matches!(self, Self::ServerClosed | Self::ClientClosed | Self::Moved | Self::HandedOver)
     }
 }
 
-/// Why an attempt ended, more closely than its outcome tells.
+/// Why an attempt ended, in more detail than its outcome.
 #[derive(Debug, thiserror::Error)]
 pub enum AttemptCause {
-    /// The exchange cancelled it.
+    /// The exchange cancelled the attempt.
     #[error("cancelled")]
     Cancelled,
-    /// The server began to drain, or left, while its connection came up.
-    #[error("the server takes nothing new any more")]
+    /// The server started draining, or left the list, while the connection was being made.
+    #[error("the server no longer accepts new connections")]
     ServerDraining,
-    /// No address, no descriptor, or no attempt left.
+    /// There was no address, no free descriptor, or no attempt left.
     #[error("not sent")]
     NotSent,
-    /// Connecting failed.
+    /// The connection could not be made.
     #[error("connect: {0}")]
     Connect(ConnectError),
-    /// Sending the first line failed.
+    /// The first line could not be written.
     #[error("write: {0}")]
     Write(io::Error),
-    /// The first line could not be sent in time.
+    /// The first line could not be written in time.
     #[error("write timed out")]
     WriteTimedOut,
-    /// No answer came in time.
+    /// The server did not answer in time.
     #[error("no answer")]
     NoAnswer,
-    /// The connection ended or broke before the answer.
-    #[error("ended before the answer: {0}")]
-    NoWholeAnswer(Broken),
-    /// The server has answered.
+    /// The connection closed or broke before the answer was complete.
+    #[error("connection ended before the answer: {0}")]
+    IncompleteAnswer(ConnectionLoss),
+    /// The server answered.
     #[error("answered")]
     Answered,
-    /// The server has ended its sending.
-    #[error("the server closed")]
+    /// The server closed its side.
+    #[error("closed by the server")]
     ServerClosed,
-    /// The client has ended the connection.
-    #[error("the client closed")]
+    /// The client closed the connection.
+    #[error("closed by the client")]
     ClientClosed,
     /// The established connection broke.
-    #[error("broke: {0}")]
-    Broken(Broken),
-    /// The server sends a line without an end.
-    #[error("a line without an end")]
-    EndlessLine,
+    #[error("connection broke: {0}")]
+    Broken(ConnectionLoss),
+    /// The server sent more bytes without a line end than a line may have.
+    #[error("line too long")]
+    LineTooLong,
 }
 
-/// How a connection that ended too early did so.
+/// How a connection ended too early.
 #[derive(Debug, thiserror::Error)]
-pub enum Broken {
+pub enum ConnectionLoss {
     /// A read failed.
     #[error("{0}")]
     Read(io::Error),
-    /// The peer ended its sending.
+    /// The peer closed its side.
     #[error("end of stream")]
     EndOfStream,
-    /// What came is too long to be a line.
-    #[error("no line")]
-    NoLine,
-    /// Nobody reads from it any more.
+    /// The peer sent no line end within the maximum length of a line.
+    #[error("line too long")]
+    LineTooLong,
+    /// Reading was stopped on this side.
     #[error("abandoned")]
     Abandoned,
 }
 
-/// How an attempt has ended.
+/// How an attempt ended.
 #[derive(Debug)]
 pub struct AttemptEnd {
-    /// For the decisions.
+    /// The outcome for the balancer.
     pub outcome: Outcome,
-    /// For the log.
+    /// The cause for the log.
     pub cause: AttemptCause,
 }
 
 impl AttemptEnd {
-    /// An end with this cause.
+    /// Creates an end with this outcome and cause.
     pub fn new(outcome: Outcome, cause: AttemptCause) -> Self {
         Self { outcome, cause }
     }
 
-    /// The end of an attempt that the exchange has called off.
+    /// Creates the end of an attempt that the exchange cancelled.
     pub fn cancelled(outcome: Outcome) -> Self {
         Self::new(outcome, AttemptCause::Cancelled)
     }
 }
 
-/// One attempt of a request.
+/// The record of one attempt.
 #[derive(Debug)]
 pub struct AttemptRecord {
-    /// Where it went.
+    /// The server it was sent to.
     pub server: ServerId,
     /// How it ended.
     pub end: AttemptEnd,
-    /// How long it took, in milliseconds.
+    /// Its duration, in milliseconds.
     pub took_ms: Millis,
 }
 
@@ -141,56 +141,58 @@
     }
 }
 
-/// A request, from when it was taken to its end.
+/// The record of a request, from its arrival to its end.
 #[derive(Debug)]
 pub struct RequestRecord {
-    taken_at: Millis,
+    received_at: Millis,
     established_at: Option<Millis>,
-    over: Option<(EndReason, Millis)>,
+    ended: Option<(EndReason, Millis)>,
     attempts: Vec<AttemptRecord>,
 }
 
-/// So many attempts of a request are written down.
-const MOST_ATTEMPTS: usize = 16;
+/// Maximum number of attempts in the record of a request.
+const MAX_RECORDED_ATTEMPTS: usize = 16;
 
 impl RequestRecord {
-    /// Of a request that is taken now.
+    /// Starts the record of a request that arrives now.
     pub fn new(now: Millis) -> Self {
-        Self { taken_at: now, established_at: None, over: None, attempts: Vec::new() }
+        Self { received_at: now, established_at: None, ended: None, attempts: Vec::new() }
     }
 
-    /// Its connection is established.
+    /// Records that the connection is established.
     pub fn established(&mut self, now: Millis) {
         self.established_at = self.established_at.or(Some(now));
     }
 
-    /// It is over; the first reason holds.
-    pub fn over(&mut self, reason: EndReason, now: Millis) {
-        self.over = self.over.or(Some((reason, now)));
+    /// Records why the request ended; later calls are ignored.
+    pub fn ended(&mut self, reason: EndReason, now: Millis) {
+        self.ended = self.ended.or(Some((reason, now)));
     }
 
-    /// An attempt has ended.
-    pub fn attempted(&mut self, attempt: AttemptRecord) {
-        if self.attempts.len() < MOST_ATTEMPTS {
+    /// Records an attempt that has ended.
+    pub fn attempt_ended(&mut self, attempt: AttemptRecord) {
+        if self.attempts.len() < MAX_RECORDED_ATTEMPTS {
             self.attempts.push(attempt);
         }
     }
 
-    /// Writes one log record of the whole request: at the usual level if its end was no ordinary one, or an
-    /// attempt failed.
+    /// Writes one log line for the whole request: at debug level if it ended in an ordinary way, otherwise
+    /// at info level.
     pub fn log(&self, id: u64) {
-        let Some((reason, over_at)) = self.over else { return };
+        let Some((reason, ended_at)) = self.ended else { return };
         let attempts: Vec<_> = self.attempts.iter().map(AttemptRecord::describe).collect();
         let attempts = attempts.join(" ");
-        let waited = self.established_at.unwrap_or(over_at) - self.taken_at;
-        let open = self.established_at.map_or(0.0, |at| over_at - at);
+        let waited_ms = self.established_at.unwrap_or(ended_at) - self.received_at;
+        let open_ms = self.established_at.map_or(0.0, |at| ended_at - at);
         let id = format_args!("{id:016x}");
         if reason.is_ordinary() {
             tracing::debug!(
-                "request {id} {reason:?} waited {waited:.1} open {open:.1} attempts [{attempts}]"
+                "request {id} {reason:?} waited {waited_ms:.1} open {open_ms:.1} attempts [{attempts}]"
             );
         } else {
-            tracing::info!("request {id} {reason:?} waited {waited:.1} open {open:.1} attempts [{attempts}]");
+            tracing::info!(
+                "request {id} {reason:?} waited {waited_ms:.1} open {open_ms:.1} attempts [{attempts}]"
+            );
         }
     }
 }
--- a/node/src/exchange/session_driver.rs
+++ b/node/src/exchange/session_driver.rs
@@ -1,7 +1,7 @@
-//! Sessions at work: feeds the machine that decides about them, and has its commands carried out.
+//! Drives the session state machine: feeds it events and carries out its commands.
 //!
-//! A request that asks for a session goes to the decisions only once that is its own; from then on it
-//! is a request like any other. What the machine needs to know of it comes from the exchange.
+//! A request for a session reaches the balancer only once its session has been claimed; from then on it
+//! is handled like any other request. The exchange reports the request's progress to the state machine.
 
 use super::Exchange;
 use crate::backend::lease_link;
@@ -20,25 +20,25 @@
 /// The sessions of this process.
 pub struct SessionDriver {
     clock: Clock,
-    machine: RefCell<Sessions>,
+    sessions: RefCell<Sessions>,
     commands: RefCell<VecDeque<Command>>,
-    /// Commands are being carried out; more of them only join the queue.
+    /// Commands are being carried out; further commands are only queued.
     busy: Cell<bool>,
     links: RefCell<HashMap<ServerId, Link>>,
     directory: Rc<Directory>,
     descriptors: Rc<Descriptors>,
     tuning: Rc<Tuning>,
     exchange: RefCell<Weak<Exchange>>,
-    me: Weak<SessionDriver>,
+    weak_self: Weak<SessionDriver>,
 }
 
 struct Link {
-    words: Rc<Between>,
+    outgoing: Rc<Between>,
     task: AbortHandle,
 }
 
 impl SessionDriver {
-    /// Sessions of a process that has none yet; `seed` is drawn by the system.
+    /// Creates a driver without sessions. `seed` must come from the system's random number generator.
     pub fn new(
         clock: Clock,
         settings: Settings,
@@ -49,10 +49,10 @@
         tuning: Rc<Tuning>,
     ) -> Rc<Self> {
         let (now, unix) = (clock.now(), clock.unix());
-        let machine = Sessions::new(settings, keys, seed, now, unix).into();
-        Rc::new_cyclic(|me| Self {
+        let sessions = Sessions::new(settings, keys, seed, now, unix).into();
+        Rc::new_cyclic(|weak_self| Self {
             clock,
-            machine,
+            sessions,
             commands: RefCell::default(),
             busy: Cell::default(),
             links: RefCell::default(),
@@ -60,78 +60,79 @@
             descriptors,
             tuning,
             exchange: RefCell::default(),
-            me: me.clone(),
+            weak_self: weak_self.clone(),
         })
     }
 
-    /// Tells whose requests these are. To be called before the first event.
+    /// Sets the exchange that owns the requests. Must be called before the first event.
     pub fn connect(&self, exchange: Weak<Exchange>) {
         self.exchange.replace(exchange);
     }
 
-    /// Takes an event at once. Its commands are carried out in order, after those that wait already.
+    /// Handles an event at once. Its commands are carried out in order, after those already queued.
     pub fn feed(&self, event: Event) {
         let mut commands = Vec::new();
-        self.machine.borrow_mut().handle(self.clock.now(), event, &mut commands);
+        self.sessions.borrow_mut().handle(self.clock.now(), event, &mut commands);
         self.commands.borrow_mut().extend(commands);
         if self.busy.replace(true) {
             return;
         }
         loop {
             let Some(command) = self.commands.borrow_mut().pop_front() else { break };
-            self.carry_out(command);
+            self.execute(command);
         }
         self.busy.set(false);
     }
 
-    /// The form hosts that are known have changed.
+    /// Applies a changed list of servers.
     pub fn servers_changed(&self, listed: Vec<Listed>) {
         self.feed(Event::Servers(listed));
     }
 
-    /// A link has ended by itself.
+    /// Handles a link that ended on its own.
     pub fn link_ended(&self, server: ServerId) {
         self.links.borrow_mut().remove(&server);
         self.feed(Event::LinkDown { server });
     }
 
-    /// How the form host of a request's attempt is to hold its session: what its first line says.
-    pub fn held_as(&self, request: RequestId) -> Option<String> {
-        let (session, ballot) = self.machine.borrow().held_as(request)?;
+    /// Returns the session and ballot under which the server of a request's attempt is to hold the
+    /// session, as written in the first line to the server.
+    pub fn session_ballot(&self, request: RequestId) -> Option<String> {
+        let (session, ballot) = self.sessions.borrow().held_as(request)?;
         Some(format!("{session}.{ballot}"))
     }
 
-    /// A form host that takes a session asks for its lease within so long.
-    pub fn asks_within(&self) -> f64 {
-        self.machine.borrow().asks_within()
+    /// Returns the time within which a server that accepts a session requests its lease, in milliseconds.
+    pub fn lease_request_timeout_ms(&self) -> f64 {
+        self.sessions.borrow().asks_within()
     }
 
-    /// For how long the form host of a request's attempt may hold its session yet.
+    /// Returns how much longer the server of a request's attempt may hold the session, in milliseconds.
     pub fn hold_ms(&self, request: RequestId) -> f64 {
-        self.machine.borrow().hold_until(request) - self.clock.now()
+        self.sessions.borrow().hold_until(request) - self.clock.now()
     }
 
-    /// True once the form host of a request's attempt has been given a lease.
-    pub fn leased(&self, request: RequestId) -> bool {
-        self.machine.borrow().leased(request)
+    /// Returns true once the server of a request's attempt has been granted a lease.
+    pub fn has_lease(&self, request: RequestId) -> bool {
+        self.sessions.borrow().leased(request)
     }
 
-    /// True if the client of this request may save more before something is confirmed.
+    /// Returns true if the client of a request may save more before earlier saves are confirmed.
     pub fn has_room(&self, request: RequestId) -> bool {
-        self.machine.borrow().room(request) > 0
+        self.sessions.borrow().room(request) > 0
     }
 
-    /// True if the request's session could not be passed on as of now.
+    /// Returns true if the request's session cannot be handed over at the moment.
     pub fn is_busy(&self, request: RequestId) -> bool {
-        self.machine.borrow().busy(request)
+        self.sessions.borrow().busy(request)
     }
 
-    /// Gives up a session for the process that takes this one's place.
-    pub fn pass_on(&self, request: RequestId) -> Option<Passed> {
-        self.machine.borrow_mut().pass_on(request)
+    /// Releases a session for the handover to the successor process.
+    pub fn hand_over(&self, request: RequestId) -> Option<Passed> {
+        self.sessions.borrow_mut().pass_on(request)
     }
 
-    fn carry_out(&self, command: Command) {
+    fn execute(&self, command: Command) {
         let Some(exchange) = self.exchange.borrow().upgrade() else { return };
         match command {
             Command::Link(server) => self.link(server),
@@ -143,67 +144,71 @@
             Command::Call { server, call } => {
                 let mut frame = Vec::new();
                 keep::write(&call, &mut frame);
-                let taken = self.links.borrow().get(&server).is_none_or(|link| link.words.add(&frame));
-                if !taken {
-                    // Nobody reads at the other end.
-                    self.carry_out(Command::Unlink(server));
+                let queued = self.links.borrow().get(&server).is_none_or(|link| link.outgoing.add(&frame));
+                if !queued {
+                    // The queue of the link is full because the server has stopped reading.
+                    self.execute(Command::Unlink(server));
                     self.feed(Event::LinkDown { server });
                 }
             }
             Command::Proceed(request) => exchange.proceed(request),
             Command::Refuse { request, retry_after_ms } => {
                 let limits = &self.tuning.now().decisions.limits;
-                let told =
+                let advised_ms =
                     if limits.retry_after { retry_after_ms.min(limits.max_retry_after_ms) } else { 0.0 };
-                tracing::debug!(event = "session_refused", request = request.0, retry_after_ms = told);
-                exchange.refuse_session(request, told);
+                tracing::debug!(event = "session_refused", request = request.0, retry_after_ms = advised_ms);
+                exchange.reject_session(request, advised_ms);
             }
             Command::Reject { request, why } => {
                 tracing::info!(event = "session_rejected", request = request.0, reason = why.name());
                 exchange.fail_session(request);
             }
-            Command::ToHost { request, lines } => exchange.tell(request, &lines, |pipe| &pipe.to_host),
-            Command::ToClient { request, lines } => exchange.tell(request, &lines, |pipe| &pipe.to_client),
+            Command::ToHost { request, lines } => {
+                exchange.insert_lines(request, &lines, |pipe| &pipe.inserted_to_server)
+            }
+            Command::ToClient { request, lines } => {
+                exchange.insert_lines(request, &lines, |pipe| &pipe.inserted_to_client)
+            }
             Command::Move(request) => {
                 tracing::info!(event = "session_cut", request = request.0);
                 exchange.end_session(request, "MOVE\r\n");
             }
             Command::Taken(request) => exchange.end_session(request, "TAKEN\r\n"),
             Command::SetTimer(ms) => {
-                let Some(resume) = self.me.upgrade() else { return };
+                let Some(session_driver) = self.weak_self.upgrade() else { return };
                 tokio::task::spawn_local(async move {
-                    resume.clock.sleep(ms).await;
-                    resume.feed(Event::Timer);
+                    session_driver.clock.sleep(ms).await;
+                    session_driver.feed(Event::Timer);
                 });
             }
-            Command::Note(note) => tell(note),
+            Command::Note(note) => log_note(note),
         }
     }
 
     fn link(&self, server: ServerId) {
-        let way = self.directory.address(server);
-        let way = way.and_then(|address| Some((address, self.descriptors.take(Purpose::Served)?)));
-        let (Some((address, descriptor)), Some(resume)) = (way, self.me.upgrade()) else {
+        let address = self.directory.address(server);
+        let reserved = address.and_then(|address| Some((address, self.descriptors.take(Purpose::Served)?)));
+        let (Some((address, descriptor)), Some(session_driver)) = (reserved, self.weak_self.upgrade()) else {
             self.feed(Event::LinkDown { server });
             return;
         };
-        let words = Rc::new(Between::default());
-        let owner = self.machine.borrow().owner();
+        let outgoing = Rc::new(Between::default());
+        let owner = self.sessions.borrow().owner();
         let link = lease_link::run(
-            Rc::downgrade(&resume),
+            Rc::downgrade(&session_driver),
             self.clock.clone(),
             server,
             address,
             owner,
-            words.clone(),
+            outgoing.clone(),
             descriptor,
         );
         let task = tokio::task::spawn_local(link).abort_handle();
-        self.links.borrow_mut().insert(server, Link { words, task });
+        self.links.borrow_mut().insert(server, Link { outgoing, task });
     }
 }
 
-fn tell(note: Note) {
+fn log_note(note: Note) {
     match note {
         Note::Held { session, request, server, epoch, upto, resumed, took_ms } => {
             tracing::info!(
