--- a/node/src/frontend/line.rs
+++ b/node/src/frontend/line.rs
@@ -1,7 +1,7 @@
-//! The client side: takes connections, reads what they ask, and carries lines to and from the
-//! exchange. Knows nothing of form hosts.
+//! The client side: accepts connections, reads their requests, and relays lines to and from the exchange.
+//! Independent of the server side.
 
-use crate::exchange::{Adopted, Exchange, Pipe, RequestHandle};
+use crate::exchange::{AdoptedClient, Exchange, Pipe, RequestHandle};
 use crate::io::clock::{Clock, Millis};
 use crate::io::descriptors::{Descriptor, Descriptors, Purpose};
 use crate::io::listener::{self, Listener};
@@ -17,52 +17,52 @@
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
 
-/// A connection must have asked for something sound within this time of being accepted, however
-/// many lines it sends: a limit on each line could be drawn out for ever. Clients may take 2 s to
-/// write, and whoever asks for nothing is owed an answer within 3 s of connecting.
-const OPENING_MS: Millis = 2_700.0;
-/// So many `PING`s may come before that; more is a flood.
-const MOST_PINGS: usize = 8;
-/// A connection that is turned away has so long to take its last line, counted as above. It may be
-/// sending all the while, and a close with input unread would destroy that line.
-const TURN_AWAY_MS: Millis = 5_500.0;
-/// When one direction has ended, the other has so long to end as well.
+/// Maximum time from the accept of a connection to a valid request, in milliseconds. The limit does not
+/// restart with each line, because a client could extend that forever. Clients may take 2 s to write, and
+/// a connection without a request must be answered within 3 s.
+const OPENING_TIMEOUT_MS: Millis = 2_700.0;
+/// Maximum number of `PING`s before a request; a client that sends more is flooding.
+const MAX_PINGS: usize = 8;
+/// Maximum time from the accept of a connection that is rejected to its close, in milliseconds. The client
+/// may still be sending, and a close with unread input could destroy the closing message.
+const REJECTED_CLOSE_TIMEOUT_MS: Millis = 5_500.0;
+/// Maximum time for one direction of a connection to end after the other, in milliseconds.
 const LINGER_MS: Millis = 30_000.0;
-/// A client that has had its last line and sends nothing has so long to close.
-const CLOSE_MS: Millis = 500.0;
-/// After a failed accept so long passes before the next.
-const PAUSE_MS: Millis = 10.0;
-/// The decisions answer before a client's time is over; this much later the guard does.
-const OVERDUE_MS: Millis = 5.0;
-/// Input that nobody wants is dropped in pieces of this size ...
-const DROPPED: usize = 512 * 1024;
-/// ... with a pause after each: a flood at full speed must not take the CPU from those served.
-const DROP_PAUSE_MS: Millis = 5.0;
-/// So often is told how many were turned away.
-const TELL_MS: Millis = 10_000.0;
+/// Maximum time for a client that sends nothing to close after its closing message, in milliseconds.
+const IDLE_CLOSE_TIMEOUT_MS: Millis = 500.0;
+/// Pause after a failed accept, in milliseconds.
+const ACCEPT_RETRY_MS: Millis = 10.0;
+/// Time after a client's deadline at which it is answered if the balancer has not decided, in milliseconds.
+const DEADLINE_GRACE_MS: Millis = 5.0;
+/// Unwanted input is discarded in chunks of this size.
+const DISCARD_CHUNK_BYTES: usize = 512 * 1024;
+/// Pause after each discarded chunk, in milliseconds: a client that floods must not take the CPU from others.
+const DISCARD_PAUSE_MS: Millis = 5.0;
+/// Interval between log lines with the number of rejected connections, in milliseconds.
+const REJECTED_LOG_INTERVAL_MS: Millis = 10_000.0;
 
-/// The client side.
+/// The client side of the line protocol.
 pub struct LineFrontend {
-    /// Where requests go.
+    /// Receives the requests.
     pub exchange: Rc<Exchange>,
-    /// For the time limits.
+    /// The clock for timeouts.
     pub clock: Clock,
-    /// For the sockets.
+    /// The pool of descriptors for the sockets.
     pub descriptors: Rc<Descriptors>,
-    /// For what a client is told that comes while all descriptors are in use.
+    /// The settings in force: when clients may retry that are rejected because no descriptor is free.
     pub tuning: Rc<Tuning>,
-    /// Of connections that have not asked for anything sound yet or are being turned away.
-    pub openings: Rc<Places>,
+    /// Slots for connections that have not sent a valid request yet or are being rejected.
+    pub pending_slots: Rc<Places>,
     /// Whether clients are accepted.
     pub serving: watch::Receiver<bool>,
-    /// Whether the process is about to end: who has not asked yet is sent elsewhere.
-    pub ending: watch::Receiver<bool>,
-    /// How many have been turned away since that was last told.
-    pub turned_away: Cell<usize>,
+    /// Whether the process is about to end: connections without a request are rejected.
+    pub shutting_down: watch::Receiver<bool>,
+    /// Number of connections that were rejected since the last log line about them.
+    pub rejected_count: Cell<usize>,
 }
 
 impl LineFrontend {
-    /// Accepts connections for ever, while this process serves.
+    /// Accepts connections while this process serves, forever.
     pub async fn accept(self: Rc<Self>, listener: &Listener) {
         let mut serving = self.serving.clone();
         while serving.wait_for(|serving| *serving).await.is_ok() {
@@ -73,153 +73,159 @@
             };
             match accepted {
                 Ok(stream) => {
-                    let place = self.openings.place().await;
-                    let clients = self.clone();
-                    tokio::task::spawn_local(async move { clients.serve(stream, place).await });
+                    let slot = self.pending_slots.place().await;
+                    let frontend = self.clone();
+                    tokio::task::spawn_local(async move { frontend.serve(stream, slot).await });
                 }
                 Err(error) => {
-                    // Trying again at once would spin, and what is missing comes back with time.
-                    tracing::warn!(%error, "a connection could not be accepted");
-                    self.clock.sleep(PAUSE_MS).await;
+                    // An immediate retry would spin; the missing resource becomes available again with time.
+                    tracing::warn!(%error, "failed to accept a connection");
+                    self.clock.sleep(ACCEPT_RETRY_MS).await;
                 }
             }
         }
     }
 
-    /// Carries connections that another process has passed on, for ever.
-    pub async fn adopt(self: Rc<Self>, mut adopted: mpsc::UnboundedReceiver<Adopted>) {
-        while let Some(Adopted { socket, request_handle, pipe, descriptor }) = adopted.recv().await {
-            let clients = self.clone();
+    /// Serves connections that another process has handed off, forever.
+    pub async fn adopt(self: Rc<Self>, mut adopted: mpsc::UnboundedReceiver<AdoptedClient>) {
+        while let Some(AdoptedClient { socket, request_handle, pipe, descriptor }) = adopted.recv().await {
+            let frontend = self.clone();
             tokio::task::spawn_local(async move {
-                clients.carry(&socket, request_handle, &pipe).await;
+                frontend.relay(&socket, request_handle, &pipe).await;
                 pipe.release_client(socket, descriptor);
             });
         }
     }
 
-    /// Tells from time to time how many were turned away, if any were, for ever.
-    pub async fn tell(&self) {
+    /// Logs the number of rejected connections at intervals, if there were any, forever.
+    pub async fn log_rejected(&self) {
         loop {
-            self.clock.sleep(TELL_MS).await;
-            let count = self.turned_away.take();
+            self.clock.sleep(REJECTED_LOG_INTERVAL_MS).await;
+            let count = self.rejected_count.take();
             if count > 0 {
-                tracing::info!("{count} connections that asked for nothing sound were turned away");
+                tracing::info!("rejected {count} connections that sent no valid request");
             }
         }
     }
 
-    /// Takes connections that wait to be accepted now, whether or not the event loop has heard of them. Tells if
-    /// there were any.
+    /// Accepts the connections that are pending now, even if the event loop has not been notified of them
+    /// yet. Returns true if there were any.
     pub fn accept_pending(self: &Rc<Self>, listener: &Listener) -> bool {
         let mut any = false;
         while let Some(stream) = listener.accept_waiting() {
             any = true;
-            let clients = self.clone();
+            let frontend = self.clone();
             tokio::task::spawn_local(async move {
-                let place = clients.openings.place().await;
+                let slot = frontend.pending_slots.place().await;
                 match listener::register(stream).await {
-                    Ok(stream) => clients.serve(stream, place).await,
-                    Err(error) => tracing::warn!(%error, "an accepted connection could not be served"),
+                    Ok(stream) => frontend.serve(stream, slot).await,
+                    Err(error) => tracing::warn!(%error, "failed to serve an accepted connection"),
                 }
             });
         }
         any
     }
 
-    /// Serves one connection to its end.
-    async fn serve(&self, stream: TcpStream, place: Place) {
-        // Lines are short and must not wait for others.
+    /// Serves one connection until its end.
+    async fn serve(&self, stream: TcpStream, slot: Place) {
+        // Lines are short and must not be delayed by Nagle's algorithm.
         let _ = stream.set_nodelay(true);
-        let until = self.clock.now() + OPENING_MS;
+        let opening_deadline = self.clock.now() + OPENING_TIMEOUT_MS;
         let pipe = Pipe::new();
-        match self.taken(&stream, &pipe, &place, until).await {
+        match self.accept_request(&stream, &pipe, &slot, opening_deadline).await {
             Ok((request_handle, descriptor)) => {
-                drop(place);
-                self.carry(&stream, request_handle, &pipe).await;
+                drop(slot);
+                self.relay(&stream, request_handle, &pipe).await;
                 pipe.release_client(stream, descriptor);
             }
             Err(RejectReason::Gone) => drop(stream),
             Err(reason) => {
-                if !matches!(reason, RejectReason::Refused(_)) {
-                    tracing::debug!("a client is turned away: {}", reason.why());
-                    self.turned_away.set(self.turned_away.get() + 1);
+                if !matches!(reason, RejectReason::RetryLater(_)) {
+                    tracing::debug!("rejected a client: {}", reason.describe());
+                    self.rejected_count.set(self.rejected_count.get() + 1);
                 }
                 let line = match reason {
-                    RejectReason::Refused(wait_ms) => line::busy(wait_ms),
+                    RejectReason::RetryLater(wait_ms) => line::busy(wait_ms),
                     _ => "ERR\r\n".into(),
                 };
-                let needed = async {
-                    if !matches!(reason, RejectReason::Needed) {
-                        place.needed().await;
+                let evicted = async {
+                    if !matches!(reason, RejectReason::Evicted) {
+                        slot.needed().await;
                     }
                 };
                 tokio::select! {
                     biased;
-                    () = needed => {
-                        // There is no time to wait for anything; a line this short fits in any socket.
+                    () = evicted => {
+                        // A newer connection waits for this slot; a line this short fits in any socket buffer.
                         pump::write_now(&stream, line.as_bytes());
                         let _ = SockRef::from(&stream).shutdown(Shutdown::Write);
                         pump::drop_unread(&stream);
                     }
-                    () = self.turn_away(&stream, &line, until) => {}
+                    () = self.reject(&stream, &line, opening_deadline) => {}
                 }
-                // The place is given back after the socket, as a newcomer needs the descriptor.
+                // The slot is released after the socket: the next connection needs the descriptor.
                 drop(stream);
             }
         }
     }
 
-    /// Reads what a client asks, and has the exchange take it.
-    async fn taken(
+    /// Reads a client's request and passes it to the exchange.
+    async fn accept_request(
         &self,
         stream: &TcpStream,
         pipe: &Rc<Pipe>,
-        place: &Place,
-        until: Millis,
+        slot: &Place,
+        opening_deadline: Millis,
     ) -> Result<(RequestHandle, Descriptor), RejectReason> {
-        let mut ending = self.ending.clone();
-        let asked = tokio::select! {
+        let mut shutting_down = self.shutting_down.clone();
+        let result = tokio::select! {
             biased;
-            asked = self.clock.within(OPENING_MS, self.asked(stream, pipe, place)) => asked,
-            () = place.needed() => Some(Err(RejectReason::Needed)),
-            _ = ending.wait_for(|ending| *ending) => Some(Err(RejectReason::Refused(0.0))),
+            result = self.clock.within(OPENING_TIMEOUT_MS, self.read_opening(stream, pipe, slot)) => result,
+            () = slot.needed() => Some(Err(RejectReason::Evicted)),
+            _ = shutting_down.wait_for(|shutting_down| *shutting_down) => Some(Err(RejectReason::RetryLater(0.0))),
         };
-        let opening = asked.unwrap_or(Err(RejectReason::Late))?;
-        if *self.ending.borrow() {
-            return Err(RejectReason::Refused(0.0));
+        let opening = result.unwrap_or(Err(RejectReason::TimedOut))?;
+        if *self.shutting_down.borrow() {
+            return Err(RejectReason::RetryLater(0.0));
         }
         let Some(descriptor) = self.descriptors.take(Purpose::Served) else {
             let limits = &self.tuning.now().decisions.limits;
-            return Err(RejectReason::Refused(if limits.retry_after {
+            return Err(RejectReason::RetryLater(if limits.retry_after {
                 limits.max_retry_after_ms
             } else {
                 0.0
             }));
         };
         if opening.at.is_some() {
-            // What was open before may have to wait, and must not leave for that.
-            place.release();
+            // A connection that is restored may have to wait for its server and must not be evicted meanwhile.
+            slot.release();
         }
-        let left = until - self.clock.now();
-        // It may leave while it waits for its form host to be listed, and may say nothing before its answer.
+        let left_ms = opening_deadline - self.clock.now();
+        // The client may close while it waits for its server to be listed, but must send nothing before its
+        // answer.
         let request_handle = tokio::select! {
             biased;
-            request_handle = self.exchange.open(opening, pipe.clone(), left) => request_handle.map_err(RejectReason::Unservable)?,
-            _ = pump::fill(stream, &pipe.up, || false) => {
-                return Err(if pipe.up.held() > 0 { RejectReason::Malformed } else { RejectReason::Gone });
+            request_handle = self.exchange.open(opening, pipe.clone(), left_ms) => request_handle.map_err(RejectReason::Unservable)?,
+            _ = pump::fill(stream, &pipe.client_to_server, || false) => {
+                return Err(if pipe.client_to_server.held() > 0 { RejectReason::Malformed } else { RejectReason::Gone });
             }
         };
         Ok((request_handle, descriptor))
     }
 
-    /// Reads until a client has asked for a connection, and answers `PING`s before.
-    async fn asked(&self, stream: &TcpStream, pipe: &Pipe, place: &Place) -> Result<Opening, RejectReason> {
-        for _ in 0..=MOST_PINGS {
-            first_line(stream, pipe, place).await?;
-            match self.hello(pipe) {
+    /// Reads until the client has requested a connection, and answers `PING`s until then.
+    async fn read_opening(
+        &self,
+        stream: &TcpStream,
+        pipe: &Pipe,
+        slot: &Place,
+    ) -> Result<Opening, RejectReason> {
+        for _ in 0..=MAX_PINGS {
+            wait_first_line(stream, pipe, slot).await?;
+            match self.take_hello(pipe) {
                 Some(Hello::Ping) => {
                     pump::write_all(stream, b"PONG\r\n").await.map_err(|_| RejectReason::Gone)?;
-                    place.answered();
+                    slot.answered();
                 }
                 Some(Hello::Open(opening)) => return Ok(*opening),
                 None => break,
@@ -228,156 +234,160 @@
         Err(RejectReason::Malformed)
     }
 
-    /// The first line, if it has come whole and is sound.
-    fn hello(&self, pipe: &Pipe) -> Option<Hello> {
-        let line = pipe.up.line().filter(|line| line.len() <= LONGEST)?;
-        pipe.up.discard(line.len());
+    /// Takes the first line out of the ring. Returns `None` unless it is complete and valid.
+    fn take_hello(&self, pipe: &Pipe) -> Option<Hello> {
+        let line = pipe.client_to_server.line().filter(|line| line.len() <= LONGEST)?;
+        pipe.client_to_server.discard(line.len());
         let hello = line::hello(&line);
         if hello.is_none() {
-            tracing::debug!("no line of the protocol: {}", line[..line.len().min(200)].escape_ascii());
+            tracing::debug!("malformed line: {}", line[..line.len().min(200)].escape_ascii());
         }
-        // A client waits for its answer before it sends more.
+        // The protocol requires a client to wait for its answer before it sends more.
         hello.filter(|hello| match hello {
             Hello::Ping => true,
-            Hello::Open(opening) => pipe.up.held() == 0 && self.may_ask(opening),
+            Hello::Open(opening) => pipe.client_to_server.held() == 0 && self.may_open(opening),
         })
     }
 
-    /// Sessions are asked for only where they are switched on; else that is no line of the protocol.
-    fn may_ask(&self, opening: &Opening) -> bool {
-        opening.session.is_none() || self.exchange.resumes() && opening.at.is_none()
+    /// Returns false for a request for a session where sessions are disabled or the connection is restored.
+    fn may_open(&self, opening: &Opening) -> bool {
+        opening.session.is_none() || self.exchange.sessions_enabled() && opening.at.is_none()
     }
 
-    /// Carries one request and its connection.
-    async fn carry(&self, stream: &TcpStream, request_handle: RequestHandle, pipe: &Pipe) {
-        let reading = pump::fill(stream, &pipe.up, || {
-            if pipe.standing() && pipe.session.get() {
-                return request_handle.sent_in_session(pipe);
+    /// Relays the lines of one request and its connection.
+    async fn relay(&self, stream: &TcpStream, request_handle: RequestHandle, pipe: &Pipe) {
+        let reading = pump::fill(stream, &pipe.client_to_server, || {
+            if pipe.is_established() && pipe.has_session.get() {
+                return request_handle.forward_session_lines(pipe);
             }
-            if pipe.standing() {
-                request_handle.sent(pipe);
+            if pipe.is_established() {
+                request_handle.forward_lines(pipe);
             } else {
-                request_handle.malformed();
+                request_handle.reject_malformed();
             }
             true
         });
-        // Nothing of the balancer's own comes before the answer.
-        let begun = pipe.standing();
+        // The balancer inserts no line of its own before the answer.
+        let answered = pipe.is_established();
         let writing = async {
-            if pipe.session.get() {
-                pump::empty_between(&pipe.down, &pipe.to_client, stream, begun).await
+            if pipe.has_session.get() {
+                pump::empty_between(&pipe.server_to_client, &pipe.inserted_to_client, stream, answered).await
             } else {
-                pump::empty(&pipe.down, stream).await
+                pump::empty(&pipe.server_to_client, stream).await
             }
         };
         tokio::pin!(reading, writing);
-        let mut client_may_send = true;
+        let mut client_sending = true;
         let more = tokio::select! {
-            () = self.overdue(&request_handle) => false,
-            left = &mut reading => match left {
-                Filled::Closed if pipe.standing() => {
-                    pipe.up.end(End::Closed);
+            () = self.guard_deadline(&request_handle) => false,
+            end = &mut reading => match end {
+                Filled::Closed if pipe.is_established() => {
+                    pipe.client_to_server.end(End::Closed);
                     self.clock.within(LINGER_MS, &mut writing).await;
                     return;
                 }
-                // A client that leaves before its answer has cancelled.
+                // A client that closes before its answer has cancelled the request.
                 Filled::Closed | Filled::Stopped => return,
                 Filled::Broken(error) => {
                     tracing::debug!(%error, "reading from a client failed");
                     return;
                 }
                 Filled::DirectionEnded => {
-                    // The form host is gone: nothing more is read, only what it said last goes out.
-                    client_may_send = false;
+                    // The connection to the server has ended: only what the server sent last is still delivered.
+                    client_sending = false;
                     self.clock.within(LINGER_MS, &mut writing).await.unwrap_or(false)
                 }
             },
             more = &mut writing => more,
         };
-        if more && client_may_send {
-            // The form host has ended its sending; the client may still send.
+        if more && client_sending {
+            // The server has closed its side; the client may still send.
             match self.clock.within(LINGER_MS, &mut reading).await {
-                Some(Filled::Closed) => return pipe.up.end(End::Closed),
-                Some(Filled::Broken(_) | Filled::Stopped) => return pipe.up.end(End::Reset),
+                Some(Filled::Closed) => return pipe.client_to_server.end(End::Closed),
+                Some(Filled::Broken(_) | Filled::Stopped) => return pipe.client_to_server.end(End::Reset),
                 Some(Filled::DirectionEnded) | None => {}
             }
         }
-        // The form host is gone, and what the client still says goes nowhere; but its last line must reach it.
-        if !pipe.down.broken() && !pipe.handed_over() {
-            self.drain(stream, TURN_AWAY_MS - OPENING_MS).await;
+        // The connection to the server has ended. Further input of the client is discarded, but the client must
+        // still receive its closing message.
+        if !pipe.server_to_client.broken() && !pipe.handed_over() {
+            self.drain_input(stream, REJECTED_CLOSE_TIMEOUT_MS - OPENING_TIMEOUT_MS).await;
         }
     }
 
-    /// Guards the client's time; ends only with the connection.
-    async fn overdue(&self, request_handle: &RequestHandle) {
-        self.clock.sleep(request_handle.wait_ms() + OVERDUE_MS).await;
-        request_handle.overdue();
+    /// Answers the client if the balancer has not done so by its deadline. Never returns.
+    async fn guard_deadline(&self, request_handle: &RequestHandle) {
+        self.clock.sleep(request_handle.wait_ms() + DEADLINE_GRACE_MS).await;
+        request_handle.deadline_passed();
         std::future::pending().await
     }
 
-    /// Sends a last line and closes; `until` is the end of the time to ask in.
-    async fn turn_away(&self, stream: &TcpStream, line: &str, until: Millis) {
-        let left = until - OPENING_MS + TURN_AWAY_MS - self.clock.now();
-        if self.clock.within(CLOSE_MS, pump::write_all(stream, line.as_bytes())).await.is_some() {
-            self.drain(stream, left).await;
+    /// Sends a closing message and waits for the client to close.
+    async fn reject(&self, stream: &TcpStream, line: &str, opening_deadline: Millis) {
+        let left_ms = opening_deadline - OPENING_TIMEOUT_MS + REJECTED_CLOSE_TIMEOUT_MS - self.clock.now();
+        if self.clock.within(IDLE_CLOSE_TIMEOUT_MS, pump::write_all(stream, line.as_bytes())).await.is_some()
+        {
+            self.drain_input(stream, left_ms).await;
         }
     }
 
-    /// Ends our sending and waits for the client to close, or to be quiet for a while. A close with
-    /// lines of the client unread is a reset, which may overtake the last line we sent.
-    async fn drain(&self, stream: &TcpStream, for_ms: Millis) {
+    /// Closes the sending side and waits until the client closes or stops sending. A close with unread input
+    /// would reset the connection, and the reset may overtake the closing message.
+    async fn drain_input(&self, stream: &TcpStream, timeout_ms: Millis) {
         let _ = SockRef::from(stream).shutdown(Shutdown::Write);
-        let rest = async {
-            while let Some(Ok(true)) = self.clock.within(CLOSE_MS, pump::discard(stream, DROPPED)).await {
-                self.clock.sleep(DROP_PAUSE_MS).await;
+        let discarding = async {
+            while let Some(Ok(true)) =
+                self.clock.within(IDLE_CLOSE_TIMEOUT_MS, pump::discard(stream, DISCARD_CHUNK_BYTES)).await
+            {
+                self.clock.sleep(DISCARD_PAUSE_MS).await;
             }
         };
-        self.clock.within(for_ms, rest).await;
+        self.clock.within(timeout_ms, discarding).await;
     }
 }
 
-/// A connection that is not served.
+/// Why a connection is not served.
 #[derive(Debug)]
 enum RejectReason {
-    /// The client has closed or broken it.
+    /// The client closed the connection, or it broke.
     Gone,
-    /// What came is not of the protocol.
+    /// The client violated the protocol.
     Malformed,
-    /// No request came in the time for that.
-    Late,
-    /// Its place is needed for a newcomer.
-    Needed,
-    /// It asks for what there is not.
+    /// The client sent no valid request in time.
+    TimedOut,
+    /// The slot is needed for a newer connection.
+    Evicted,
+    /// No server may receive the request.
     Unservable(&'static str),
-    /// It may come again, here or elsewhere, after so many ms; 0 for no advice.
-    Refused(Millis),
+    /// The client may retry, here or elsewhere, after this time in milliseconds; 0 for no advice.
+    RetryLater(Millis),
 }
 
 impl RejectReason {
-    fn why(&self) -> &'static str {
+    fn describe(&self) -> &'static str {
         match self {
-            Self::Gone => "it has left",
-            Self::Malformed => "no line of the protocol",
-            Self::Late => "no request in time",
-            Self::Needed => "its place is needed for another",
-            Self::Unservable(why) => why,
-            Self::Refused(_) => "it may come again",
+            Self::Gone => "the client closed the connection",
+            Self::Malformed => "malformed request",
+            Self::TimedOut => "no request in time",
+            Self::Evicted => "the slot is needed for a newer connection",
+            Self::Unservable(reason) => reason,
+            Self::RetryLater(_) => "the client may retry later",
         }
     }
 }
 
-/// Waits until a first line is there, or too much for one.
-async fn first_line(stream: &TcpStream, pipe: &Pipe, place: &Place) -> Result<(), RejectReason> {
-    let up = &pipe.up;
-    let whole = || up.line().is_some() || up.held() > LONGEST;
-    let arrived = || {
-        place.heard();
-        !whole()
+/// Waits until the first line is complete, or is too long.
+async fn wait_first_line(stream: &TcpStream, pipe: &Pipe, slot: &Place) -> Result<(), RejectReason> {
+    let ring = &pipe.client_to_server;
+    let complete = || ring.line().is_some() || ring.held() > LONGEST;
+    let on_data = || {
+        slot.heard();
+        !complete()
     };
-    if whole() {
+    if complete() {
         return Ok(());
     }
-    match pump::fill(stream, up, arrived).await {
+    match pump::fill(stream, ring, on_data).await {
         Filled::Stopped => Ok(()),
         Filled::Closed | Filled::Broken(_) | Filled::DirectionEnded => Err(RejectReason::Gone),
     }
--- a/node/src/frontend/mod.rs
+++ b/node/src/frontend/mod.rs
@@ -1,3 +1,3 @@
-//! Fronts: by what protocols clients bring their requests.
+//! The client side, by protocol.
 
 pub mod line;
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -1,9 +1,9 @@
-//! The real balancer: marllink's decisions on real sockets. No decision is made here.
+//! The balancer daemon: drives marllink's decisions with real sockets. No decision is made here.
 //!
-//! The modules are grouped by concern. `front` and `host` own the sockets of clients and of form hosts
-//! and never meet but in `exchange`; `membership` follows the list; `operations` is what operators do to
-//! a running process; `io` is what all of them stand on; `protocol` is syntax alone. `core` runs the
-//! decisions, and `serve` puts the parts together.
+//! The modules are grouped by concern. `frontend` and `backend` own the sockets of clients and of servers
+//! and meet only in `exchange`; `membership` follows the server list; `operations` is what operators do
+//! with a running process; `io` has the time, byte and descriptor primitives that all of them use;
+//! `protocol` parses and formats. `core` drives the decisions, and `serve` assembles the process.
 
 mod backend;
 mod cli;
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: all of it is in the library.
+//! The `marllink` program; the implementation is in the library.
 
 use std::process::ExitCode;
 
--- a/node/src/serve.rs
+++ b/node/src/serve.rs
@@ -1,4 +1,5 @@
-//! The balancer's life as a process: it starts, alone or in the place of another, serves, and ends.
+//! The lifecycle of the balancer process: startup, alone or as the successor of another process, service,
+//! and shutdown.
 
 use crate::backend::server;
 use crate::exchange::session_driver::SessionDriver;
@@ -21,26 +22,27 @@
 use std::rc::Rc;
 use tokio::signal::unix::Signal;
 
-/// How to serve, besides what the environment says.
+/// Options besides those from the environment.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    /// The operators' file.
+    /// Path of the operators' configuration file.
     pub operators: Option<PathBuf>,
-    /// The log is JSON, an object a line.
+    /// Writes the log as JSON, one object per line.
     pub json_log: bool,
 }
 
-/// For so long it is tried to listen; a balancer has to be ready within seconds.
-const LISTEN_MS: Millis = 2_000.0;
-/// So long after one try follows the next.
-const LISTEN_AGAIN_MS: Millis = 50.0;
+/// Maximum time to retry binding a listener, in milliseconds; a balancer has to be ready within seconds.
+const BIND_TIMEOUT_MS: Millis = 2_000.0;
+/// Interval between attempts to bind a listener, in milliseconds.
+const BIND_RETRY_MS: Millis = 50.0;
 
-/// Serves as the environment says, until a planned end; what `marllink` without arguments does.
+/// Runs the balancer as configured by the environment until it is shut down. This is what `marllink` without
+/// a subcommand does.
 pub fn serve(options: &Options) -> ExitCode {
-    // A log that can't be written is no reason to end: the library would tell of that by a panic.
+    // A log that cannot be written must not end the process: the library would report it with a panic.
     let log = tracing_subscriber::fmt().with_writer(std::io::stderr).log_internal_errors(false);
     let log = log.with_ansi(false).with_target(false);
-    let level = variable("MARLLINK_LOG").and_then(|level| level.parse().ok());
+    let level = env_var("MARLLINK_LOG").and_then(|level| level.parse().ok());
     let log = log.with_max_level(level.unwrap_or(tracing::Level::INFO));
     if options.json_log {
         log.json().flatten_event(true).init();
@@ -50,68 +52,70 @@
     let operators = features::path(options.operators.clone());
     let features = match features::load(operators.as_deref()) {
         Ok(features) => features,
-        Err(message) => return failed(&message),
+        Err(message) => return exit_with_error(&message),
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = match runtime {
         Ok(runtime) => runtime,
-        Err(error) => return failed(&error.to_string()),
+        Err(error) => return exit_with_error(&error.to_string()),
     };
-    let ended = tokio::task::LocalSet::new().block_on(&runtime, start(features, operators));
-    // What is still open is cut off; waiting for it would only delay the end.
+    let result = tokio::task::LocalSet::new().block_on(&runtime, start(features, operators));
+    // Tasks that are still running are dropped; waiting for them would only delay the exit.
     runtime.shutdown_background();
-    ended.map_or_else(|message| failed(&message), |()| ExitCode::SUCCESS)
+    result.map_or_else(|message| exit_with_error(&message), |()| ExitCode::SUCCESS)
 }
 
-fn variable(name: &str) -> Option<String> {
+fn env_var(name: &str) -> Option<String> {
     std::env::var(name).ok()
 }
 
-fn failed(message: &str) -> ExitCode {
+fn exit_with_error(message: &str) -> ExitCode {
     let _ = writeln!(std::io::stderr(), "marllink: {message}");
     ExitCode::FAILURE
 }
 
-/// Starts in the place of a process that serves already, if there is one.
+/// Starts the process, as the successor of one that is already serving if there is one.
 async fn start(features: Features, operators: Option<PathBuf>) -> Result<(), String> {
-    // Before all else: a signal that comes unheard ends the process, and the file is read after it can be heard of.
+    // Signal handlers come first: an unhandled SIGHUP or SIGTERM ends the process, and a SIGHUP that arrives
+    // while the configuration is read must reload it.
     let signals = Signals::listen().map_err(|error| error.to_string())?;
     let clock = Clock::of_machine();
-    let told = match variable(config::PATH_VARIABLE) {
+    let configured = match env_var(config::PATH_VARIABLE) {
         Some(path) => {
             let text = file::read(&clock, Path::new(&path)).await;
-            config::load(variable, |_| text.as_ref().map(Clone::clone).map_err(config::copied))
+            config::load(env_var, |_| text.as_ref().map(Clone::clone).map_err(config::copied))
         }
-        None => config::load(variable, |path| std::fs::read(path)),
+        None => config::load(env_var, |path| std::fs::read(path)),
     };
-    let listen = match &told {
+    let listen = match &configured {
         Ok(config) => Some(config.listen),
-        // What was in force may do in its place; where to ask for it is told by the variable as well.
-        Err(_) => variable("NODE_LISTEN").and_then(|text| text.parse().ok()),
+        // The configuration of the predecessor may be used instead; the address under which it can be found is
+        // also in the environment.
+        Err(_) => env_var("NODE_LISTEN").and_then(|text| text.parse().ok()),
     };
-    let meeting = listen.map(handover::path);
-    let heritage = match &meeting {
+    let handover_path = listen.map(handover::path);
+    let heritage = match &handover_path {
         Some(path) => handover::ask(path, &clock).await,
         None => None,
     };
     let (config, heritage) = match heritage {
-        None => (told?, None),
+        None => (configured?, None),
         Some(heritage) => {
-            let before = &heritage.snapshot;
-            match config::inherit(told.clone(), &before.config, before.discovery, variable) {
+            let predecessor = &heritage.snapshot;
+            match config::inherit(configured.clone(), &predecessor.config, predecessor.discovery, env_var) {
                 Ok(config) => (config, Some(heritage)),
                 Err(message) => {
-                    tracing::warn!("the process before hands nothing over: {message}");
-                    (told?, None)
+                    tracing::warn!("cannot take over from the previous process: {message}");
+                    (configured?, None)
                 }
             }
         }
     };
-    let run = run(config, clock, heritage, features, operators.as_deref(), signals);
-    run.await.map_err(|error| error.to_string())
+    let running = run(config, clock, heritage, features, operators.as_deref(), signals);
+    running.await.map_err(|error| error.to_string())
 }
 
-/// The signals that are heard.
+/// The signals that the process handles.
 struct Signals {
     term: Signal,
     hangup: Signal,
@@ -123,7 +127,7 @@
     }
 }
 
-/// Serves until a planned end.
+/// Serves until a planned shutdown.
 async fn run(
     config: Config,
     clock: Clock,
@@ -136,8 +140,8 @@
     let directory = Rc::new(directory::Directory::default());
     let descriptors = descriptors::Descriptors::new(config.sockets);
     let tuning = tuning::Tuning::new(config.settings.clone());
-    let (orders, to_servers) = tokio::sync::mpsc::unbounded_channel();
-    let (adopted, to_clients) = tokio::sync::mpsc::unbounded_channel();
+    let (backend_commands, backend_receiver) = tokio::sync::mpsc::unbounded_channel();
+    let (adopted_clients, adopted_receiver) = tokio::sync::mpsc::unbounded_channel();
     let discovery = discovery::Discovery::new(
         &core,
         clock.clone(),
@@ -146,7 +150,7 @@
         config.settings.names.zones.clone(),
         config.settings.decisions.discovery == marllink::Discovery::Push,
     );
-    let resume = match (&features.operators.sessions, features.keys) {
+    let session_driver = match (&features.operators.sessions, features.keys) {
         (Some(sessions), Some(keys)) => {
             let mut seed = [0; 32];
             getrandom::fill(&mut seed).map_err(|e| std::io::Error::other(e.to_string()))?;
@@ -168,16 +172,16 @@
         directory.clone(),
         descriptors.clone(),
         tuning.clone(),
-        exchange::Sides { orders, adopted },
-        resume.clone(),
+        exchange::SideChannels { backend_commands, adopted_clients },
+        session_driver.clone(),
     );
-    if let Some(resume) = &resume {
-        resume.connect(Rc::downgrade(&exchange));
-        discovery.tell_sessions(resume.clone());
-        tracing::info!("sessions are on: form hosts are asked to keep them");
+    if let Some(session_driver) = &session_driver {
+        session_driver.connect(Rc::downgrade(&exchange));
+        discovery.tell_sessions(session_driver.clone());
+        tracing::info!("sessions are enabled: servers replicate their state");
     }
-    let requests: std::rc::Weak<dyn core::Requests> = Rc::downgrade(&exchange) as _;
-    core.connect(requests, discovery.clone());
+    let request_actions: std::rc::Weak<dyn core::RequestActions> = Rc::downgrade(&exchange) as _;
+    core.connect(request_actions, discovery.clone());
     let handover = handover::Handover::new(
         core.clone(),
         clock.clone(),
@@ -203,8 +207,8 @@
         }
         None => None,
     };
-    let servers = server::Servers { clock: clock.clone(), tuning: tuning.clone() };
-    tokio::task::spawn_local(servers.run(to_servers));
+    let backend = server::Backend { clock: clock.clone(), tuning: tuning.clone() };
+    tokio::task::spawn_local(backend.run(backend_receiver));
     let path = handover::path(config.listen);
     let (listener, successors) = match heritage {
         None => {
@@ -215,12 +219,12 @@
             (listen(&clock, config.listen).await?, handover::listen(&path))
         }
         Some(heritage) => {
-            let (before, link, clients, successors) = heritage.parts();
-            for (server, address) in &before.addresses {
+            let (predecessor, link, clients, successors) = heritage.parts();
+            for (server, address) in &predecessor.addresses {
                 directory.insert(*server, *address);
             }
-            discovery.start_from(&before.list);
-            handover.follow(before, link);
+            discovery.start_from(&predecessor.list);
+            handover.follow(predecessor, link);
             (clients, Ok(successors))
         }
     };
@@ -230,76 +234,76 @@
     let maintenance =
         maintenance::Maintenance::new(core.clone(), clock.clone(), maintenance::path(config.listen));
     maintenance.look();
-    let own = handover::lies_there(&path);
+    let own_socket = handover::lies_there(&path);
     let listener = Rc::new(listener);
     match successors {
         Ok(successors) => {
             tokio::task::spawn_local(handover.clone().listen(successors, listener.clone()));
         }
-        // An upgrade will be a plain restart then; that is no reason not to serve.
-        Err(error) => tracing::warn!("no successor can ask at {}: {error}", path.display()),
+        // An upgrade is then a plain restart; this is no reason not to serve.
+        Err(error) => tracing::warn!("cannot listen for a successor process at {}: {error}", path.display()),
     }
     if let Some(address) = config.admin {
-        let door =
+        let admin =
             admin::Admin::new(clock.clone(), handover.clone(), maintenance.clone(), descriptors.clone());
-        tokio::task::spawn_local(door.listen(listen(&clock, address).await?));
+        tokio::task::spawn_local(admin.listen(listen(&clock, address).await?));
     }
-    let clients = Rc::new(frontend::LineFrontend {
+    let frontend = Rc::new(frontend::LineFrontend {
         exchange: exchange.clone(),
         clock: clock.clone(),
-        openings: places::Places::new(descriptors.clone(), descriptors::Purpose::Opening),
+        pending_slots: places::Places::new(descriptors.clone(), descriptors::Purpose::Opening),
         descriptors,
         tuning: tuning.clone(),
         serving: handover.serving.subscribe(),
-        ending: handover.ending.subscribe(),
-        turned_away: Cell::default(),
+        shutting_down: handover.ending.subscribe(),
+        rejected_count: Cell::default(),
     });
     let leaving = shutdown::Leaving {
         clock: &clock,
         tuning: &tuning,
         handover: &handover,
-        clients: &clients,
+        clients: &frontend,
         listener: &listener,
     };
     tracing::info!(
-        "{}: listening on {}, {} form hosts known",
+        "{}: listening on {}, {} servers known",
         config.name,
         config.listen,
         discovery.list().targets.len()
     );
     handover.serving.send_replace(true);
     tokio::select! {
-        () = clients.clone().accept(&listener) => {}
-        () = clients.clone().adopt(to_clients) => {}
-        () = clients.tell() => {}
-        () = exchange.watch_over() => {}
+        () = frontend.clone().accept(&listener) => {}
+        () = frontend.clone().adopt(adopted_receiver) => {}
+        () = frontend.log_rejected() => {}
+        () = exchange.monitor_servers() => {}
         () = maintenance.follow(), if config.admin.is_some() => {}
         () = reload::follow(hangup, &config, &tuning, &handover, operators) => {}
         () = leaving.orderly(term) => {}
     }
-    if *handover.serving.borrow() && own == handover::lies_there(&path) {
-        // Nobody has taken over, or laid a socket of its own there: there is nobody to ask any more.
+    if *handover.serving.borrow() && own_socket == handover::lies_there(&path) {
+        // No successor has taken over or bound a socket of its own there, so the path would be stale.
         let _ = std::fs::remove_file(&path);
     }
     Ok(())
 }
 
-/// Listens at an address. What keeps others from listening there may be over soon, as when a process that has
-/// held it ends.
+/// Listens on an address. Retries for a while, as the address may become free soon, for example when a
+/// previous process exits.
 async fn listen(clock: &Clock, address: SocketAddr) -> std::io::Result<Listener> {
-    let until = clock.now() + LISTEN_MS;
+    let deadline = clock.now() + BIND_TIMEOUT_MS;
     loop {
         match Listener::bind(address) {
             Ok(listener) => return Ok(listener),
-            Err(error) if clock.now() >= until => {
+            Err(error) if clock.now() >= deadline => {
                 return Err(std::io::Error::new(
                     error.kind(),
                     format!("cannot listen on {address}: {error}"),
                 ));
             }
             Err(error) => {
-                tracing::warn!(%error, "cannot listen on {address} yet");
-                clock.sleep(LISTEN_AGAIN_MS).await;
+                tracing::warn!(%error, "cannot listen on {address} yet, retrying");
+                clock.sleep(BIND_RETRY_MS).await;
             }
         }
     }
--- a/node/tests/process.rs
+++ b/node/tests/process.rs
@@ -99,7 +99,7 @@
     // And the decisions have answered by themselves, before the guard of the client's time would have had to.
     loop {
         let line = node.logged("");
-        assert!(!line.contains("no answer was decided in time"), "{line}");
+        assert!(!line.contains("no answer before the deadline of the request"), "{line}");
         if line.contains("Refuse {") {
             return;
         }
