--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -277,7 +277,7 @@
             head(to, 18, instance);
             put_server(to, *server);
         }
-        Action::TellPeer { to: peer, payload } => {
+        Action::SendToPeer { to: peer, payload } => {
             head(to, 19, instance);
             to.extend_from_slice(&peer.map_or(u16::MAX, |p| p.0).to_le_bytes());
             put_bytes(to, payload, 256);
@@ -292,7 +292,7 @@
             head(to, 23, instance);
             put_request(to, *request);
         }
-        Action::Refuse { request, retry_after_ms } => {
+        Action::Reject { request, retry_after_ms } => {
             head(to, 24, instance);
             put_request(to, *request);
             to.extend_from_slice(&retry_after_ms.to_le_bytes());
--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -9,7 +9,7 @@
     Settings {
         nodes: 300,
         zones: 2,
-        classes: vec![Class { aim_ms: 800.0, message_aim_ms: 60.0, ..Class::default() }],
+        classes: vec![Class { setup_goal_ms: 800.0, message_goal_ms: 60.0, ..Class::default() }],
         report_fields: vec![ReportField::Utilization, ReportField::InFlight],
         limits: Limits { max_attempts: 5, cancel: true, probe: true, ..Limits::default() },
         prices: Prices { cross_zone: 0.16, ..Prices::default() },
--- a/fleet/src/day.rs
+++ b/fleet/src/day.rs
@@ -1,7 +1,7 @@
 //! Days, strategies and verdicts as data.
 
 use crate::kind::Kind;
-use marllink::{Plant, Variant};
+use marllink::{InjectedBug, Variant};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
@@ -294,21 +294,22 @@
 
     /// True if this bug is planted in it.
     #[must_use]
-    pub fn is_planted(&self, plant: Plant) -> bool {
-        matches!(self, Self::Varied { with, .. } if with.plant == Some(plant))
+    pub fn is_planted(&self, plant: InjectedBug) -> bool {
+        matches!(self, Self::Varied { with, .. } if with.injected_bug == Some(plant))
     }
 
     /// The same with a bug planted, where it is marllink.
     #[must_use]
-    pub fn planted(&self, plant: Plant) -> Self {
+    pub fn planted(&self, plant: InjectedBug) -> Self {
         match self {
             Self::Marllink => Self::Varied {
                 name: "marllink".into(),
-                with: Variant { plant: Some(plant), ..Variant::default() },
+                with: Variant { injected_bug: Some(plant), ..Variant::default() },
+            },
+            Self::Varied { name, with } => Self::Varied {
+                name: name.clone(),
+                with: Variant { injected_bug: Some(plant), ..with.clone() },
             },
-            Self::Varied { name, with } => {
-                Self::Varied { name: name.clone(), with: Variant { plant: Some(plant), ..with.clone() } }
-            }
             other => other.clone(),
         }
     }
--- a/fleet/src/drive.rs
+++ b/fleet/src/drive.rs
@@ -31,7 +31,7 @@
     match strategy {
         Strategy::Marllink => Box::new(Balancer::new(settings.clone(), seed, now)),
         Strategy::Varied { with, .. } => {
-            Box::new(Balancer::varied(settings.clone(), seed, now, with.clone()))
+            Box::new(Balancer::with_variant(settings.clone(), seed, now, with.clone()))
         }
         Strategy::Random => Box::new(Plain::new(settings, seed, None)),
         Strategy::Seeing { .. } => Box::new(Plain::new(settings, seed, Some(truth.clone()))),
--- a/fleet/src/ledger.rs
+++ b/fleet/src/ledger.rs
@@ -191,7 +191,7 @@
         let wave = wave(&self.seconds[fault.min(last)..last]);
         let values = [
             (Figure::Served, served),
-            (Figure::Net, served - price - prices.late_fail * (1.0 - served)),
+            (Figure::Net, served - price - prices.late_failure * (1.0 - served)),
             (Figure::Worst, worst),
             (Figure::LeastTenant, self.within.iter().map(|(w, s)| share(*s, *w)).fold(1.0, f64::min)),
             (Figure::Skew, self.skew(sizes)),
--- a/fleet/src/plain.rs
+++ b/fleet/src/plain.rs
@@ -116,7 +116,7 @@
                 self.held.insert(request, held);
                 out.push(Action::Send { request, server, timeout_ms: 1_000.0 });
             }
-            None => out.push(Action::Refuse { request, retry_after_ms: 1_000.0 }),
+            None => out.push(Action::Reject { request, retry_after_ms: 1_000.0 }),
         }
     }
 
--- a/fleet/src/setting.rs
+++ b/fleet/src/setting.rs
@@ -129,10 +129,10 @@
 /// What a balancer is told at its start, where all hosts can do so many connections.
 fn told(shape: &Shape, kind: &Kind, zones: usize, at: usize, all: f64) -> Settings {
     let class = |sort: &Sort| Told {
-        aim_ms: 800.0,
-        effect: Effect::Safe,
-        worth: sort.worth,
-        message_aim_ms: sort.message_aim_ms,
+        setup_goal_ms: 800.0,
+        idempotency: Effect::Safe,
+        value: sort.worth,
+        message_goal_ms: sort.message_aim_ms,
     };
     let fields = vec![ReportField::Utilization, ReportField::InFlight];
     Settings {
@@ -140,11 +140,11 @@
         nodes: shape.balancers as u16,
         zone: ZoneId((at % zones) as u8),
         zones: zones as u8,
-        discovery: if kind.pushed { Discovery::Push } else { Discovery::Ask },
+        discovery: if kind.pushed { Discovery::Push } else { Discovery::Pull },
         classes: kind.classes.iter().map(class).collect(),
         tenants: kind.tenants.iter().map(|t| marllink::Tenant { quota_connections: t.quota * all }).collect(),
-        over_share_worth: kind.over_share_worth,
-        groups: kind.groups.is_some(),
+        over_quota_value_ratio: kind.over_share_worth,
+        group_affinity: kind.groups.is_some(),
         report_fields: if kind.reports { fields } else { Vec::new() },
         limits: Limits {
             connect_timeout_ms: 200.0,
@@ -156,12 +156,12 @@
             max_retry_after_ms: 2_000.0,
         },
         rules: Rules {
-            ask_within_ms: 10_000.0,
-            cold_from: kind.cold_from / CAUTION,
-            warm_after_ms: kind.warm_ms * CAUTION,
-            tip_multiple: 3.0,
-            overload_for_ms: 3_000.0,
+            fetch_within_ms: 10_000.0,
+            initial_capacity_ratio: kind.cold_from / CAUTION,
+            warm_up_ms: kind.warm_ms * CAUTION,
+            collapse_load_ratio: 3.0,
+            collapse_after_ms: 3_000.0,
         },
-        prices: Prices { moves: kind.moves, probe: 0.002, cross_zone: kind.crossing, late_fail: 0.058 },
+        prices: Prices { moves: kind.moves, probe: 0.002, cross_zone: kind.crossing, late_failure: 0.058 },
     }
 }
--- a/fleet/src/trouble.rs
+++ b/fleet/src/trouble.rs
@@ -3,7 +3,7 @@
 use crate::Millis;
 use crate::day::What;
 use crate::world::{Event, World};
-use marllink::{Event as In, Plant, RequestId, ServerId, Sign};
+use marllink::{Event as In, InjectedBug, RequestId, ServerId, Sign};
 use marllink_emulator::model::crowd::{Gap, Phase};
 use rand::Rng;
 use rand::seq::SliceRandom;
@@ -229,9 +229,9 @@
     }
 
     /// The network code of a balancer tells its decisions that a host looks silent.
-    pub(crate) fn tell_silence(&mut self, node: usize, host: usize, sign: Sign) {
-        if !self.strategy.is_planted(Plant::SilenceUntold) {
-            self.feed(node, In::Silent { server: ServerId(host as u64), sign });
+    pub(crate) fn tell_silence(&mut self, node: usize, host: usize, symptom: Sign) {
+        if !self.strategy.is_planted(InjectedBug::UnresponsiveNotReported) {
+            self.feed(node, In::Unresponsive { server: ServerId(host as u64), symptom });
         }
     }
 
@@ -256,12 +256,12 @@
             return;
         }
         let filled = form.cores * self.shape.per_core;
-        let rate = filled / rules.warm_after_ms * self.hosts[host].warmth(now);
-        let allowed = rules.tip_multiple * rate * rules.overload_for_ms;
+        let rate = filled / rules.warm_up_ms * self.hosts[host].warmth(now);
+        let allowed = rules.collapse_load_ratio * rate * rules.collapse_after_ms;
         let most = allowed + if self.kind.fall_by_chance { 2.0 * allowed.sqrt() + 2.0 } else { SLACK };
         let arrivals = &mut self.arrivals[host];
         arrivals.push(now);
-        arrivals.retain(|at| now - *at < rules.overload_for_ms);
+        arrivals.retain(|at| now - *at < rules.collapse_after_ms);
         if arrivals.len() as f64 > most {
             self.arrivals[host].clear();
             self.ledger.cold_over += 1.0;
--- a/fleet/src/world.rs
+++ b/fleet/src/world.rs
@@ -13,8 +13,8 @@
 use crate::queue::Queue;
 use crate::setting;
 use marllink::{
-    Action, AttemptNo, ClassId, Event as In, ListKind, NewRequest, Outcome, Plant, RequestId, ServerEntry,
-    ServerId, ServerState, Sign, TimerToken,
+    Action, AttemptNo, ClassId, Event as In, InjectedBug, ListKind, NewRequest, Outcome, RequestId,
+    ServerEntry, ServerId, ServerState, Sign, TimerToken,
 };
 use marllink_emulator::model::crowd::{Answer, Calls, Class, Client, Gap, Host, Manners, Phase};
 use rand::rngs::SmallRng;
@@ -233,7 +233,7 @@
         let hosts = setting::hosts(shape, day, &kind, zones, &classes, &mut rng);
         let cores: f64 = hosts.iter().map(|h| h.form.cores).sum();
         let mut nodes = setting::nodes(shape, &kind, zones, cores, &mut rng);
-        if strategy.is_planted(Plant::TenantBlind) {
+        if strategy.is_planted(InjectedBug::TenantQuotasUnknown) {
             nodes.iter_mut().for_each(|node| node.settings.tenants.clear());
         }
         let all = cores * shape.per_core;
@@ -807,7 +807,7 @@
                 let (at, attempt, outcome) = (request.0 as usize, attempt.0, Outcome::Cancelled);
                 self.queue.after(0.0, Event::Ends { at, attempt, outcome });
             }
-            Action::Refuse { request, retry_after_ms } => {
+            Action::Reject { request, retry_after_ms } => {
                 self.ledger.refused(now);
                 self.answer(request.0 as usize, Gap::Refused(retry_after_ms));
             }
@@ -848,7 +848,7 @@
                 };
                 self.queue.at(at, Event::News { node, life, kind, hosts });
             }
-            Action::TellPeer { .. } | Action::Log(_) => {}
+            Action::SendToPeer { .. } | Action::Log(_) => {}
         }
     }
 
--- a/fleet/src/world/lives.rs
+++ b/fleet/src/world/lives.rs
@@ -43,7 +43,7 @@
             };
         }
         // What an agent has counts as told, whether it was asked for or not.
-        if !(self.kind.pushed && self.strategy.is_planted(Plant::NeverWatch)) {
+        if !(self.kind.pushed && self.strategy.is_planted(InjectedBug::WatchNeverOpened)) {
             self.feed(node, In::ServerList { kind, entries });
         }
     }
--- a/fleet/tests/cold_sums.rs
+++ b/fleet/tests/cold_sums.rs
@@ -3,12 +3,12 @@
 
 mod support;
 
-use marllink::{Plant, Variant};
+use marllink::{InjectedBug, Variant};
 use marllink_fleet::{Day, Figure, Kind, Known, Shape, Strategy, What, play};
 use support::{day, mean};
 
 /// Falls a day over six seeds, where so many balancers stand before so many hosts.
-fn falls(balancers: usize, hosts: usize, day: &Day, plant: Option<Plant>) -> f64 {
+fn falls(balancers: usize, hosts: usize, day: &Day, plant: Option<InjectedBug>) -> f64 {
     let shape = Shape {
         balancers,
         hosts,
@@ -20,7 +20,7 @@
         seconds: 25.0,
         kind: Kind { fall_by_chance: true, ..Kind::default() },
     };
-    let with = Variant { plant, ..Variant::default() };
+    let with = Variant { injected_bug: plant, ..Variant::default() };
     let strategy = Strategy::Varied { name: "marllink".into(), with };
     let runs: Vec<_> = (1..=6).map(|seed| play(&shape, day, &strategy, seed)).collect();
     mean(&runs, Figure::ColdOver)
@@ -50,6 +50,6 @@
 
 #[test]
 fn balancers_that_do_not_count_each_other_push_many_over() {
-    let falls = falls(30, 18, &join(), Some(Plant::ColdSum));
+    let falls = falls(30, 18, &join(), Some(InjectedBug::ColdBudgetNotDivided));
     assert!(falls > 1.0, "{falls} a day");
 }
--- a/fleet/tests/hard_cases.rs
+++ b/fleet/tests/hard_cases.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use marllink::{Plant, Variant};
+use marllink::{InjectedBug, Variant};
 use marllink_fleet::{Day, Figure, Figures, Kind, Known, Shape, Strategy, What, play};
 use support::{day, mean};
 
@@ -141,7 +141,7 @@
 fn each_planted_bug_shows_in_its_figure() {
     let planted = |plant| Strategy::Varied {
         name: "planted".into(),
-        with: Variant { plant: Some(plant), ..Variant::default() },
+        with: Variant { injected_bug: Some(plant), ..Variant::default() },
     };
     let worse = |day: &Day, plant, figure, by: f64| {
         let (sound, planted) = (ours(day), run(&shape(), day, &planted(plant)));
@@ -149,13 +149,18 @@
         assert!(planted > sound * by + 0.01, "{plant:?}: {figure:?} {sound} and {planted}");
     };
     let replaced = What::ReplaceHosts { share: 0.3, over_s: 0.01, drain_s: 5.0 };
-    worse(&day(0.4, vec![(5.0, replaced)]), Plant::LeaveAtOnce, Figure::MovedAtOnce, 1.5);
-    worse(&day(0.4, Vec::new()), Plant::CreditByWeight, Figure::Skew, 1.5);
+    worse(&day(0.4, vec![(5.0, replaced)]), InjectedBug::DrainAtLeastOne, Figure::MovedAtOnce, 1.5);
+    worse(&day(0.4, Vec::new()), InjectedBug::CreditByWeight, Figure::Skew, 1.5);
     let fails = What::FailHosts { share: 1.0, rate: 0.9, for_s: 8.0 };
-    worse(&day(0.4, vec![(5.0, fails)]), Plant::RetryStorm, Figure::Attempts, 1.5);
+    worse(&day(0.4, vec![(5.0, fails)]), InjectedBug::RetryStorm, Figure::Attempts, 1.5);
     let lost = What::LoseZone { zone: 1, for_s: 4.0 };
     let herd = What::KillBalancers { share: 0.7, back_after_s: 0.3, list: Known::Fresh };
-    worse(&day(0.6, vec![(5.0, lost), (9.2, herd)]), Plant::ColdSum, Figure::ColdOver, 1.2);
+    worse(
+        &day(0.6, vec![(5.0, lost), (9.2, herd)]),
+        InjectedBug::ColdBudgetNotDivided,
+        Figure::ColdOver,
+        1.2,
+    );
 }
 
 #[test]
@@ -163,7 +168,7 @@
     let hushed = day(0.35, vec![(5.0, What::HushZone { zone: 1, for_s: 5.0 })]);
     let untold = Strategy::Varied {
         name: "planted".into(),
-        with: Variant { plant: Some(Plant::SilenceUntold), ..Variant::default() },
+        with: Variant { injected_bug: Some(InjectedBug::UnresponsiveNotReported), ..Variant::default() },
     };
     let (sound, planted) = (ours(&hushed), run(&shape(), &hushed, &untold));
     let (sound, planted) = (mean(&sound, Figure::Worst), mean(&planted, Figure::Worst));
--- a/fleet/tests/second_kind.rs
+++ b/fleet/tests/second_kind.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use marllink::{Plant, Variant};
+use marllink::{InjectedBug, Variant};
 use marllink_fleet::{Day, Figure, Figures, Fleet, Groups, Kind, Shape, Strategy, Tenant, What, play};
 use support::{day, mean};
 
@@ -38,7 +38,7 @@
     }
 }
 
-fn planted(plant: Plant) -> Strategy {
+fn planted(plant: InjectedBug) -> Strategy {
     Strategy::Marllink.planted(plant)
 }
 
@@ -57,7 +57,7 @@
     let silent = day(0.3, vec![(0.0, What::NoList { for_s: 10.0 }), (14.0, replaced)]);
     let runs = ours(&shape(3, 10), &silent, &Strategy::Marllink);
     assert!(mean(&runs, Figure::Served) > 0.7, "{}", mean(&runs, Figure::Served));
-    let unwatched = play(&shape(3, 10), &silent, &planted(Plant::NeverWatch), 1);
+    let unwatched = play(&shape(3, 10), &silent, &planted(InjectedBug::WatchNeverOpened), 1);
     assert!(unwatched.broken.iter().any(|b| b.contains("after it drained")), "{:?}", unwatched.broken);
 }
 
@@ -65,7 +65,8 @@
 fn one_tenant_at_ten_times_its_usual_takes_little_from_the_other() {
     let over = day(0.42, vec![(8.0, What::TenantBurst { tenant: 0, times: 10.0, for_s: 20.0 })]);
     let sound = mean(&ours(&shape(3, 10), &over, &Strategy::Marllink), Figure::LeastTenant);
-    let blind = mean(&ours(&shape(3, 10), &over, &planted(Plant::TenantBlind)), Figure::LeastTenant);
+    let blind =
+        mean(&ours(&shape(3, 10), &over, &planted(InjectedBug::TenantQuotasUnknown)), Figure::LeastTenant);
     assert!(sound > blind + 0.04, "the tenant that keeps to its share: {sound}, and {blind}");
 }
 
@@ -92,7 +93,7 @@
 fn every_host_slow_at_once_and_then_well_is_no_reason_to_move_all_clients() {
     let slow = day(0.42, vec![(8.0, What::SlowHosts { share: 1.0, factor: 0.4, for_s: 8.0 })]);
     let sound = mean(&ours(&shape(60, 40), &slow, &Strategy::Marllink), Figure::Moves);
-    let all = mean(&ours(&shape(60, 40), &slow, &planted(Plant::MoveWhenAllSlow)), Figure::Moves);
+    let all = mean(&ours(&shape(60, 40), &slow, &planted(InjectedBug::MoveWhenAllSlow)), Figure::Moves);
     assert!(all > 1.3 * sound, "moves for each client: {sound}, and {all} where all over the limit go");
 }
 
@@ -113,7 +114,7 @@
 #[test]
 fn the_same_seed_gives_the_same_run_of_this_kind_too() {
     let small = Day { fleet: Some(Fleet { balancers: 30, hosts: 20 }), ..day(0.4, Vec::new()) };
-    let with = Variant { plant: Some(Plant::NeverWatch), ..Variant::default() };
+    let with = Variant { injected_bug: Some(InjectedBug::WatchNeverOpened), ..Variant::default() };
     let unwatched = Strategy::Varied { name: "marllink".into(), with };
     for strategy in [Strategy::Marllink, unwatched] {
         assert_eq!(play(&shape(3, 10), &small, &strategy, 5), play(&shape(3, 10), &small, &strategy, 5));
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -57,7 +57,7 @@
         file: PathBuf,
         /// Plant this bug in the first strategy, which the matrix must then find.
         #[arg(long, value_name = "NAME", value_parser = plant)]
-        plant: Option<marllink::Plant>,
+        plant: Option<marllink::InjectedBug>,
         /// Play so many seeds instead of as many as the file says.
         #[arg(long, value_name = "COUNT", value_parser = clap::value_parser!(u64).range(1..=100))]
         seeds: Option<u64>,
@@ -137,7 +137,7 @@
 }
 
 /// A planted bug by its name.
-fn plant(name: &str) -> Result<marllink::Plant, String> {
+fn plant(name: &str) -> Result<marllink::InjectedBug, String> {
     serde_json::from_value(serde_json::Value::from(name)).map_err(|e| e.to_string())
 }
 
@@ -259,7 +259,7 @@
 /// Plays a matrix; true if nothing speaks against its first strategy.
 fn model(
     file: &Path,
-    plant: Option<marllink::Plant>,
+    plant: Option<marllink::InjectedBug>,
     seeds: Option<u64>,
     day: Option<String>,
     out: &Path,
--- a/node/src/core.rs
+++ b/node/src/core.rs
@@ -4,7 +4,7 @@
 //! sockets and no syntax: whoever brings requests, by whatever protocol, implements [`Requests`].
 
 use crate::io::clock::{Clock, Millis};
-use marllink::{Action, AttemptNo, Balancer, Event, Holding, Knowledge, RequestId, ServerId, Settings};
+use marllink::{Action, AttemptNo, Balancer, Event, Holding, LearnedState, RequestId, ServerId, Settings};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::rc::{Rc, Weak};
@@ -85,13 +85,13 @@
     }
 
     /// What a successor is to know.
-    pub fn knowledge(&self) -> Knowledge {
-        Knowledge { now: self.clock.now(), ..self.balancer.borrow().knowledge() }
+    pub fn knowledge(&self) -> LearnedState {
+        LearnedState { now: self.clock.now(), ..self.balancer.borrow().learned_state() }
     }
 
     /// True if an attempt at this server may begin now. Not to be asked while an action is carried out.
     pub fn takes_new(&self, server: ServerId) -> bool {
-        self.balancer.borrow().takes_new(server)
+        self.balancer.borrow().accepts_new(server)
     }
 
     /// What this process holds itself.
@@ -135,7 +135,7 @@
         match action {
             Action::Send { request, server, timeout_ms } => requests.send(request, server, timeout_ms),
             Action::Cancel { request, attempt } => requests.cancel(request, attempt),
-            Action::Refuse { request, retry_after_ms } => requests.refuse(request, retry_after_ms),
+            Action::Reject { request, retry_after_ms } => requests.refuse(request, retry_after_ms),
             Action::Fail(request) => requests.fail(request),
             Action::Move(request) => requests.move_client(request),
             Action::Probe(server) => requests.probe(server),
@@ -150,7 +150,7 @@
             }
             Action::Log(text) => tracing::info!("{text}"),
             // There is no way between balancers here, and the settings do not allow one.
-            Action::TellPeer { .. } => {}
+            Action::SendToPeer { .. } => {}
         }
     }
 }
--- a/node/src/exchange/mod.rs
+++ b/node/src/exchange/mod.rs
@@ -299,7 +299,7 @@
         let owing: BTreeSet<_> = owing.collect();
         drop(entries);
         for server in owing {
-            self.core.feed(Event::Silent { server, sign: Sign::Unanswered });
+            self.core.feed(Event::Unresponsive { server, symptom: Sign::Unanswered });
         }
     }
 
@@ -632,7 +632,7 @@
         let settings = self.tuning.now();
         let number = settings.names.classes.number(class);
         let class = number.and_then(|number| settings.decisions.classes.get(usize::from(number)));
-        match class.map(|class| class.effect) {
+        match class.map(|class| class.idempotency) {
             Some(Effect::Safe) => Restores::Always,
             Some(_) | None => Restores::IfNeverRan,
         }
@@ -652,7 +652,7 @@
 
 fn strictest_aim(tuning: &Tuning) -> Millis {
     let settings = tuning.now();
-    let aims = settings.decisions.classes.iter().map(|c| c.message_aim_ms).filter(|aim| *aim > 0.0);
+    let aims = settings.decisions.classes.iter().map(|c| c.message_goal_ms).filter(|aim| *aim > 0.0);
     aims.fold(f64::INFINITY, f64::min)
 }
 
--- a/node/src/operations/handover.rs
+++ b/node/src/operations/handover.rs
@@ -305,7 +305,7 @@
     fn predecessor_holds(&self, holds: Holds) {
         self.descriptors.leave(holds.descriptors);
         self.exchange.held_elsewhere(holds.ids.clone());
-        self.core.feed(Event::Elsewhere(holds.holdings.clone()));
+        self.core.feed(Event::PredecessorHoldings(holds.holdings.clone()));
         self.before.replace(holds);
     }
 
@@ -316,7 +316,7 @@
         if let Some(held) = before.holdings.iter_mut().find(|held| held.server == told.server) {
             held.open = held.open.saturating_sub(1);
             held.load -= told.load;
-            self.core.feed(Event::Elsewhere(before.holdings.clone()));
+            self.core.feed(Event::PredecessorHoldings(before.holdings.clone()));
         }
         drop(before);
         self.exchange.adopt(told, client, host);
--- a/node/src/operations/maintenance.rs
+++ b/node/src/operations/maintenance.rs
@@ -152,7 +152,7 @@
     }
 
     fn out(of: &Maintenance) -> Vec<ServerId> {
-        let mut out = of.core.knowledge().out;
+        let mut out = of.core.knowledge().in_maintenance;
         out.sort_unstable();
         out
     }
--- a/node/src/protocol/handover.rs
+++ b/node/src/protocol/handover.rs
@@ -1,7 +1,7 @@
 //! What a process and its successor tell each other: JSON, one value a line.
 
 use super::discovery::List;
-use marllink::{Holding, Knowledge, ServerId};
+use marllink::{Holding, LearnedState, ServerId};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -32,14 +32,14 @@
     pub addresses: Vec<(ServerId, SocketAddr)>,
     /// What the decisions know. Where that can't be read the rest still holds.
     #[serde(deserialize_with = "knowledge_or_nothing")]
-    pub knowledge: Option<Knowledge>,
+    pub knowledge: Option<LearnedState>,
     /// What the predecessor holds.
     pub holds: Holds,
 }
 
 /// What is known is worth less than that clients find one queue and connections go on: a figure that can't
 /// be read, as one that is not finite, costs what is known, and not the hand-over.
-fn knowledge_or_nothing<'a, D: serde::Deserializer<'a>>(from: D) -> Result<Option<Knowledge>, D::Error> {
+fn knowledge_or_nothing<'a, D: serde::Deserializer<'a>>(from: D) -> Result<Option<LearnedState>, D::Error> {
     let read = serde_json::from_value(serde_json::Value::deserialize(from)?);
     Ok(read.inspect_err(|e| tracing::warn!("what the process before knows can't be read: {e}")).ok())
 }
@@ -124,8 +124,9 @@
 
     #[test]
     fn what_is_written_is_read_again_and_nothing_else_is_a_snapshot() {
-        let mut knowledge = Knowledge { out: vec![ServerId(u64::MAX)], ..Knowledge::default() };
-        knowledge.servers.push((ServerId(1), marllink::Track::default()));
+        let mut knowledge =
+            LearnedState { in_maintenance: vec![ServerId(u64::MAX)], ..LearnedState::default() };
+        knowledge.servers.push((ServerId(1), marllink::ServerHistory::default()));
         let list = List { rev: 4, all: true, targets: Vec::new() };
         let address = SocketAddr::from(([127, 0, 0, 1], 8000));
         let mut told = Snapshot {
@@ -145,7 +146,7 @@
         }
         // A figure that is not finite costs what is known and nothing else.
         let servers = &mut told.knowledge.as_mut().expect("it is known").servers;
-        servers[0].1.failed_at = f64::INFINITY;
+        servers[0].1.last_failure_at = f64::INFINITY;
         let rest = snapshot(&written(&told)).expect("the rest is sound");
         assert_eq!(rest.knowledge, None);
         assert_eq!((rest.addresses, rest.holds), (told.addresses.clone(), told.holds.clone()));
--- a/node/tests/process.rs
+++ b/node/tests/process.rs
@@ -100,7 +100,7 @@
     loop {
         let line = node.logged("");
         assert!(!line.contains("no answer was decided in time"), "{line}");
-        if line.contains("Refuse {") {
+        if line.contains("Reject {") {
             return;
         }
     }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -291,10 +291,10 @@
     let tells_delay = boot.specifics.tells_delay;
     let aims = &boot.specifics.message_aim_ms;
     let classes = boot.classes.iter().enumerate().map(|(i, c)| Class {
-        aim_ms: c.goal_time_ms,
-        effect: effect(c),
-        worth: c.importance,
-        message_aim_ms: aims.get(i).copied().unwrap_or(0.0),
+        setup_goal_ms: c.goal_time_ms,
+        idempotency: effect(c),
+        value: c.importance,
+        message_goal_ms: aims.get(i).copied().unwrap_or(0.0),
     });
     let fields = boot.load_report.fields.iter().map(|f| match f.as_str() {
         "rif" => ReportField::InFlight,
@@ -312,11 +312,11 @@
         nodes: boot.balancers,
         zone: ZoneId(boot.zone),
         zones: boot.azs.len().min(255) as u8,
-        discovery: if boot.discovery == "pushed" { Discovery::Push } else { Discovery::Ask },
+        discovery: if boot.discovery == "pushed" { Discovery::Push } else { Discovery::Pull },
         classes: classes.collect(),
         tenants: (0..boot.accounts.len()).map(tenant).collect(),
-        over_share_worth: boot.over_share_worth,
-        groups: boot.specifics.groups,
+        over_quota_value_ratio: boot.over_share_worth,
+        group_affinity: boot.specifics.groups,
         report_fields: if reports { fields.collect() } else { Vec::new() },
         limits: Limits {
             connect_timeout_ms: boot.bounds.connect_timeout_ms,
@@ -328,17 +328,17 @@
             max_retry_after_ms: boot.bounds.max_retry_after_ms,
         },
         rules: Rules {
-            ask_within_ms: boot.invariants.ask_within_ms,
-            cold_from: boot.invariants.cold_from,
-            warm_after_ms: boot.invariants.warm_after_ms,
-            tip_multiple: boot.invariants.tip_multiple,
-            overload_for_ms: boot.invariants.overload_for_ms,
+            fetch_within_ms: boot.invariants.ask_within_ms,
+            initial_capacity_ratio: boot.invariants.cold_from,
+            warm_up_ms: boot.invariants.warm_after_ms,
+            collapse_load_ratio: boot.invariants.tip_multiple,
+            collapse_after_ms: boot.invariants.overload_for_ms,
         },
         prices: Prices {
             moves: boot.prices.moves,
             probe: boot.prices.probe,
             cross_zone: boot.prices.cross_zone,
-            late_fail: boot.prices.late_fail,
+            late_failure: boot.prices.late_fail,
         },
     };
     let names = Names {
@@ -395,9 +395,9 @@
         let number = |parsed: &Parsed| ["view", "save", "sign"].map(|name| parsed.names.classes.number(name));
         assert_eq!(number(&first), [Some(0), Some(1), None]);
         assert_eq!(number(&next), [None, Some(1), Some(2)]);
-        let worths: Vec<_> = next.decisions.classes.iter().map(|c| c.worth).collect();
+        let worths: Vec<_> = next.decisions.classes.iter().map(|c| c.value).collect();
         assert_eq!((worths, next.decisions.limits.max_attempts), (vec![3.0, 7.0, 3.0], 2));
-        assert_eq!(next.decisions.classes[2].effect, Effect::Unsafe);
+        assert_eq!(next.decisions.classes[2].idempotency, Effect::Unsafe);
         // What has vanished may come back, under its old number.
         let back = from_value(settings()).expect("it is sound").follow(&next);
         assert_eq!(number(&back), [Some(0), Some(1), None]);
--- a/settings/src/parts.rs
+++ b/settings/src/parts.rs
@@ -34,9 +34,9 @@
 fn list(settings: &Settings) -> Part {
     let why = match settings.discovery {
         Discovery::Push => "pushed: the watch is opened unasked and kept open".into(),
-        Discovery::Ask => format!(
+        Discovery::Pull => format!(
             "asked: the first call within {:.0} ms, again with growing pauses",
-            settings.rules.ask_within_ms / 4.0
+            settings.rules.fetch_within_ms / 4.0
         ),
     };
     Part { name: "list", on: true, why }
@@ -50,7 +50,7 @@
         false => "probes are not allowed",
         true => "reports hold no load over what a form host can do (x0)",
     };
-    let aim = settings.slow_aim();
+    let aim = settings.strictest_message_goal();
     let no_aim = "no class has an aim for messages (messageAimMs)";
     let source = match parsed.tells_delay {
         true => "told by form hosts, or measured by lines and their answers",
@@ -87,7 +87,7 @@
         ),
         part(
             "groups",
-            settings.groups,
+            settings.group_affinity,
             "a group goes to as many form hosts as its share of all connections",
             "connections share no work",
         ),
@@ -99,13 +99,13 @@
         ),
         part(
             "cold form hosts",
-            rules.warm_after_ms > 0.0 && rules.cold_from < 1.0,
+            rules.warm_up_ms > 0.0 && rules.initial_capacity_ratio < 1.0,
             format!(
                 "from {} of what they can do, warm after {:.0} s, never {} times that for {:.0} s by all",
-                rules.cold_from,
-                rules.warm_after_ms / 1_000.0,
-                rules.tip_multiple,
-                rules.overload_for_ms / 1_000.0
+                rules.initial_capacity_ratio,
+                rules.warm_up_ms / 1_000.0,
+                rules.collapse_load_ratio,
+                rules.collapse_after_ms / 1_000.0
             ),
             "form hosts start warm",
         ),
@@ -125,7 +125,7 @@
             format!(
                 "{shares} tenants share {told:.0} connections; above its share a tenant yields while form hosts \
                  are strained, as its connections are worth {} there",
-                settings.over_share_worth
+                settings.over_quota_value_ratio
             ),
             if shares == 1 { "one tenant alone has a share" } else { "no tenant has one" },
         ),
@@ -141,7 +141,7 @@
 /// What follows an attempt that failed.
 fn again(settings: &Settings) -> Vec<Part> {
     let attempts = settings.limits.max_attempts;
-    let once = settings.classes.iter().filter(|c| c.effect == Effect::Unsafe).count();
+    let once = settings.classes.iter().filter(|c| c.idempotency == Effect::Unsafe).count();
     let classes = settings.classes.len();
     vec![
         part(
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -8,7 +8,7 @@
 mod succession;
 
 use crate::interface::*;
-use crate::variant::{Plant, Variant};
+use crate::variant::{InjectedBug, Variant};
 use marllink_admission::Shares;
 use marllink_affinity::Sizes;
 use marllink_rate_limits::{Pace, Rate, Shortage, by_share, relief, whole};
@@ -121,7 +121,7 @@
     /// Place among the servers that may be picked, or `NOWHERE`.
     place: usize,
     /// What a successor is told of it.
-    track: Track,
+    track: ServerHistory,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -186,9 +186,9 @@
     requests: FxHashMap<RequestId, Pending>,
     held: Vec<RequestId>,
     /// What a successor is told of the fleet.
-    fleet: Fleet,
+    fleet: FleetHistory,
     /// What servers have said of their load, and which picks wait for that.
-    reports: marllink_server_state::Knowledge<ServerId, Told>,
+    reports: marllink_server_state::Knowledge<ServerId, ReportedLoad>,
     silence: Silence<ServerId>,
     retries: Limiter,
     burst: Rate,
@@ -211,19 +211,19 @@
     /// first event should be the list of servers as last known, empty if there is none.
     #[must_use]
     pub fn new(settings: Settings, seed: u64, now: Millis) -> Self {
-        Self::varied(settings, seed, now, Variant::default())
+        Self::with_variant(settings, seed, now, Variant::default())
     }
 
     /// The same, but for what differs: for experiments.
     #[must_use]
-    pub fn varied(settings: Settings, seed: u64, now: Millis, variant: Variant) -> Self {
+    pub fn with_variant(settings: Settings, seed: u64, now: Millis, variant: Variant) -> Self {
         Self {
-            slow_aim: settings.slow_aim(),
-            reports: marllink_server_state::Knowledge::new(settings.asking()),
+            slow_aim: settings.strictest_message_goal(),
+            reports: marllink_server_state::Knowledge::new(settings.probe_settings()),
             silence: Silence::default(),
             retries: Limiter::new(variant.retries.clone(), settings.nodes, now),
             burst: Rate::new(BURST_TAU_MS, now),
-            shares: Shares::new(settings.quotas(), settings.nodes),
+            shares: Shares::new(settings.tenant_quotas(), settings.nodes),
             groups: Sizes::default(),
             variant,
             settings,
@@ -242,10 +242,10 @@
             least: 1.0,
             requests: FxHashMap::default(),
             held: Vec::new(),
-            fleet: Fleet {
-                rate: Rate::new(RATE_TAU_MS, now),
+            fleet: FleetHistory {
+                setup_rate: Rate::new(RATE_TAU_MS, now),
                 shortage: Shortage::new(now),
-                ..Fleet::default()
+                ..FleetHistory::default()
             },
             total: 0,
             out: FxHashSet::default(),
@@ -270,13 +270,13 @@
             Event::ServerList { kind, entries } => self.on_list(kind, &entries, out),
             Event::Maintenance { server, begins } => self.on_maintenance(server, begins, out),
             Event::Settings(settings) => {
-                self.slow_aim = settings.slow_aim();
+                self.slow_aim = settings.strictest_message_goal();
                 self.retries.among(settings.nodes);
-                self.shares.retune(settings.quotas(), settings.nodes);
+                self.shares.retune(settings.tenant_quotas(), settings.nodes);
                 self.settings = settings;
             }
             Event::TakeOver(knowledge) => self.take_over(knowledge),
-            Event::Elsewhere(holdings) => self.on_elsewhere(&holdings),
+            Event::PredecessorHoldings(holdings) => self.on_elsewhere(&holdings),
             Event::Request(request) => self.on_request(&request, out),
             Event::OpenConnection { request, server } => self.on_open(&request, server),
             Event::Established { request, attempt, .. } => self.on_established(request, attempt),
@@ -292,7 +292,7 @@
                 self.on_ended(request, attempt, outcome, closed, out);
             }
             Event::MessageDelay { request, delay_ms } => self.on_delay(request, delay_ms, out),
-            Event::Silent { server, sign } => self.on_silent(server, sign, out),
+            Event::Unresponsive { server, symptom: sign } => self.on_silent(server, sign, out),
             Event::Timer(TICK) => self.on_tick(out),
             Event::Timer(ASK) => out.push(Action::WatchList),
             Event::ClientGone(request) => self.on_client_gone(request, out),
@@ -306,7 +306,7 @@
     /// May an attempt at this server begin? One that was ready when it was picked may have been told to drain
     /// while its connection came up.
     #[must_use]
-    pub fn takes_new(&self, server: ServerId) -> bool {
+    pub fn accepts_new(&self, server: ServerId) -> bool {
         self.index.get(&server).is_some_and(|slot| self.servers[*slot].state == ServerState::Ready)
     }
 
@@ -348,13 +348,13 @@
 
     /// How warm a server is: 0 at its start, 1 when it must be warm.
     fn warmth(&self, slot: usize) -> f64 {
-        let warm_after = self.settings.rules.warm_after_ms.max(1.0);
+        let warm_after = self.settings.rules.warm_up_ms.max(1.0);
         (self.age(slot) / warm_after).min(1.0)
     }
 
     /// What a server can surely do, as a share of what it can do when warm.
     fn capacity(&self, slot: usize) -> f64 {
-        let cold_from = self.settings.rules.cold_from;
+        let cold_from = self.settings.rules.initial_capacity_ratio;
         cold_from + (1.0 - cold_from) * self.warmth(slot)
     }
 
@@ -375,7 +375,7 @@
     fn zone_credit(&self, slot: usize) -> f64 {
         let s = &self.servers[slot];
         let price = if s.zone == self.settings.zone { self.settings.prices.cross_zone } else { 0.0 };
-        if self.variant.plant == Some(Plant::CreditByWeight) {
+        if self.variant.injected_bug == Some(InjectedBug::CreditByWeight) {
             return ZONE_CREDIT * 100.0 * price / s.weight;
         }
         // By the mean weight: a connection less must not count for more on a smaller server.
@@ -499,13 +499,13 @@
         let until = self.now + for_ms;
         let server = &mut self.servers[slot];
         if server.place == NOWHERE {
-            server.track.out_until = server.track.out_until.max(until);
+            server.track.ejected_until = server.track.ejected_until.max(until);
             return;
         }
         if self.ejected.len() >= most {
             return;
         }
-        server.track.out_until = until;
+        server.track.ejected_until = until;
         let place = std::mem::replace(&mut server.place, NOWHERE);
         self.pickable.swap_remove(place);
         if let Some(moved) = self.pickable.get(place) {
@@ -521,15 +521,15 @@
     /// A server has failed: it is out for a while, unless as many are as `most`.
     fn on_failure(&mut self, slot: usize, most: usize) {
         let server = &mut self.servers[slot];
-        if self.now - server.track.failed_at < SAME_FAILURE_MS {
+        if self.now - server.track.last_failure_at < SAME_FAILURE_MS {
             return;
         }
-        server.track.failed_at = self.now;
-        if self.now > server.track.out_until + FORGIVE_MS {
-            server.track.failures = 0;
+        server.track.last_failure_at = self.now;
+        if self.now > server.track.ejected_until + FORGIVE_MS {
+            server.track.consecutive_failures = 0;
         }
-        let for_ms = EJECT_MS * f64::from(1u32 << server.track.failures.min(8));
-        server.track.failures += 1;
+        let for_ms = EJECT_MS * f64::from(1u32 << server.track.consecutive_failures.min(8));
+        server.track.consecutive_failures += 1;
         let spread = 0.75 + 0.5 * self.uniform();
         self.eject(slot, for_ms.min(MAX_EJECT_MS) * spread, most);
     }
@@ -561,7 +561,7 @@
         let slot = pending.slot;
         let server = &mut self.servers[slot];
         let excess = server.track.strain.note(self.now, delay_ms, self.slow_aim, f64::from(server.open));
-        let planted = self.variant.plant == Some(Plant::MoveWhenAllSlow);
+        let planted = self.variant.injected_bug == Some(InjectedBug::MoveWhenAllSlow);
         self.move_some(slot, if planted { excess / marllink_rebalancing::MOVED_SHARE } else { excess }, out);
     }
 
@@ -590,7 +590,7 @@
         }
     }
 
-    fn ask(&mut self, event: Asked<ServerId, Told>, out: &mut Vec<Action>) {
+    fn ask(&mut self, event: Asked<ServerId, ReportedLoad>, out: &mut Vec<Action>) {
         let mut commands = Vec::new();
         self.reports.handle(self.now, event, &mut commands);
         for command in commands {
@@ -610,10 +610,10 @@
         let held = self.settings.report_fields.iter().position(|f| *f == ReportField::InFlight);
         let held = held.and_then(|at| report.get(at)).map_or(0.0, |x| f64::from(*x));
         let (own, own_load) = server.loads[REPORT_AGE - 1];
-        let told = load.map(|load| Told { load, own: own_load });
+        let told = load.map(|load| ReportedLoad { load, own_load: own_load });
         ok.then(|| self.silence.heard(id));
         if let Some(load) = load {
-            self.fleet.carrying.learn(&Held { weight: server.weight, load, held, own, own_load });
+            self.fleet.capacity.learn(&Held { weight: server.weight, load, held, own, own_load });
         }
         self.ask(Asked::Answered { host: id, report: told }, out);
     }
@@ -624,8 +624,8 @@
     fn load_now(&self, slot: usize) -> f64 {
         let s = &self.servers[slot];
         let Some(told) = self.reports.known(self.now, s.id) else { return 0.0 };
-        let capacity = self.fleet.carrying.load() * s.weight;
-        let since = if capacity > 0.0 { (s.load - told.own) / capacity } else { 0.0 };
+        let capacity = self.fleet.capacity.load() * s.weight;
+        let since = if capacity > 0.0 { (s.load - told.own_load) / capacity } else { 0.0 };
         told.load + since
     }
 
@@ -636,10 +636,10 @@
             server.loads.rotate_right(1);
             let own = server.connections.len() as f64 + f64::from(server.elsewhere.0);
             server.loads[0] = (own, server.load);
-            let due = own > 0.0 && server.track.relieve_at <= self.now;
+            let due = own > 0.0 && server.track.next_rebalance_at <= self.now;
             let load = if due { self.load_now(slot) } else { 0.0 };
             if load >= OVER_LOAD {
-                self.servers[slot].track.relieve_at = self.now + RELIEF_MS;
+                self.servers[slot].track.next_rebalance_at = self.now + RELIEF_MS;
                 self.relieve(slot, 1.0 - BUSY_LOAD / load, out);
             }
         }
@@ -652,7 +652,7 @@
             if s.state == ServerState::Draining && !s.connections.is_empty() {
                 let part = TICK_MS / (s.leave_by - self.now).max(TICK_MS);
                 let count = s.connections.len() as f64 * part;
-                let at_once = self.variant.plant == Some(Plant::LeaveAtOnce);
+                let at_once = self.variant.injected_bug == Some(InjectedBug::DrainAtLeastOne);
                 self.move_some(slot, if at_once { count.ceil() } else { count }, out);
             }
         }
@@ -706,7 +706,7 @@
         }
         self.tick_at = self.now + TICK_MS;
         out.push(Action::SetTimer { delay_ms: TICK_MS, token: TICK });
-        let over = |slot: &usize| self.servers[*slot].track.out_until <= self.now;
+        let over = |slot: &usize| self.servers[*slot].track.ejected_until <= self.now;
         let (back, out_yet): (Vec<_>, Vec<_>) = self.ejected.iter().partition(|slot| over(slot));
         self.ejected = out_yet;
         for slot in back {
@@ -756,20 +756,20 @@
         if warmth >= 1.0 {
             return true;
         }
-        let alone = self.variant.plant == Some(Plant::ColdSum);
+        let alone = self.variant.injected_bug == Some(InjectedBug::ColdBudgetNotDivided);
         let nodes = if alone { 1.0 } else { f64::from(self.settings.nodes.max(1)) };
         let uniform = self.uniform();
         let (rules, s) = (&self.settings.rules, &self.servers[slot]);
         let idle = self.reports.known(self.now, s.id).is_some() && self.load_now(slot) < COLD_IDLE;
         let margin = if idle { COLD_IDLE_MARGIN } else { COLD_MARGIN };
-        let most = rules.tip_multiple * margin * self.capacity(slot) * s.weight;
+        let most = rules.collapse_load_ratio * margin * self.capacity(slot) * s.weight;
         let pace = Pace {
             // What would fill the server in its time to warm up, as far as reports tell that: refused
             // clients add nothing to the own rate. All nodes together send that much.
-            part: most * self.fleet.carrying.connections() / rules.warm_after_ms.max(1.0) / nodes,
-            usual: most * self.fleet.rate.at(self.now),
+            part: most * self.fleet.capacity.connections() / rules.warm_up_ms.max(1.0) / nodes,
+            usual: most * self.fleet.setup_rate.at(self.now),
             lately: s.weight * self.burst.at(self.now),
-            window_ms: rules.overload_for_ms,
+            window_ms: rules.collapse_after_ms,
             wanted,
         };
         self.servers[slot].track.budget.allows(self.now, &pace, uniform)
@@ -778,18 +778,18 @@
     // ---- Request life ---------------------------------------------------------------------------
 
     fn effect(&self, class: ClassId) -> Effect {
-        self.settings.classes.get(usize::from(class.0)).map_or(Effect::Safe, |c| c.effect)
+        self.settings.classes.get(usize::from(class.0)).map_or(Effect::Safe, |c| c.idempotency)
     }
 
     /// By class, and whether its tenant is above its share.
     fn worth(&self, pending: &Pending) -> f64 {
         let above = self.shares.above(pending.tenant.0, 0.0);
-        let worth = self.settings.classes.get(usize::from(pending.class.0)).map_or(1.0, |c| c.worth);
-        (worth * if above { self.settings.over_share_worth } else { 1.0 }).max(0.01)
+        let worth = self.settings.classes.get(usize::from(pending.class.0)).map_or(1.0, |c| c.value);
+        (worth * if above { self.settings.over_quota_value_ratio } else { 1.0 }).max(0.01)
     }
 
     fn aim(&self, class: ClassId) -> Millis {
-        self.settings.classes.get(usize::from(class.0)).map_or(0.0, |c| c.aim_ms)
+        self.settings.classes.get(usize::from(class.0)).map_or(0.0, |c| c.setup_goal_ms)
     }
 
     fn on_request(&mut self, new: &NewRequest, out: &mut Vec<Action>) {
@@ -806,7 +806,7 @@
         Pending {
             class: new.class,
             tenant: new.tenant,
-            group: if self.settings.groups { new.group } else { 0 },
+            group: if self.settings.group_affinity { new.group } else { 0 },
             phase: Phase::Held,
             tried: [NOWHERE; 2],
             erred: Vec::new(),
@@ -879,7 +879,10 @@
         self.ask(Asked::Wanted { pick: id.0, hosts }, out);
         // Also where others have asked already: their question may get no answer.
         if self.reports.due().is_some() {
-            out.push(Action::SetTimer { delay_ms: self.settings.asking().patience_ms, token: PATIENCE });
+            out.push(Action::SetTimer {
+                delay_ms: self.settings.probe_settings().patience_ms,
+                token: PATIENCE,
+            });
         }
     }
 
@@ -933,7 +936,7 @@
     /// Throttle: refuses part of the attempts while many fail, as more of them only feed the cause.
     fn throttled(&mut self, pending: &Pending) -> bool {
         let uniform = self.uniform();
-        if pending.redrawn > 0 || self.variant.plant == Some(Plant::RetryStorm) {
+        if pending.redrawn > 0 || self.variant.injected_bug == Some(InjectedBug::RetryStorm) {
             return false;
         }
         let limit = if pending.attempts == 0 { Limiter::allows } else { Limiter::allows_again };
@@ -951,7 +954,7 @@
     /// Refused says that trying again is harmless: not where one may have run that must not run twice.
     fn refuse_or_fail(&self, id: RequestId, pending: &Pending, retry_after_ms: Millis) -> Action {
         let harmless = self.effect(pending.class).harmless(pending.ran);
-        if harmless { Action::Refuse { request: id, retry_after_ms } } else { Action::Fail(id) }
+        if harmless { Action::Reject { request: id, retry_after_ms } } else { Action::Fail(id) }
     }
 
     /// The final answer when nothing more can be waited for. An attempt that is out may run yet.
@@ -1010,7 +1013,7 @@
         server.track.strain.came_up(self.now, took_ms, aim, f64::from(server.open));
         self.retries.stood(self.now, took_ms);
         self.reports.handle(self.now, Asked::Paid, &mut Vec::new());
-        self.fleet.rate.add(self.now, self.per_warm());
+        self.fleet.setup_rate.add(self.now, self.per_warm());
         self.blame(&erred, true);
     }
 
@@ -1076,7 +1079,7 @@
             return;
         }
         let wait = Limiter::wait_ms(usize::from(pending.attempts), self.uniform());
-        let storm = self.variant.plant == Some(Plant::RetryStorm);
+        let storm = self.variant.injected_bug == Some(InjectedBug::RetryStorm);
         if wait > TICK_MS && self.now + wait + 2.0 * TICK_MS < pending.deadline && !storm {
             pending.phase = Phase::Held;
             pending.again_at = self.now + wait;
--- a/src/decide/membership.rs
+++ b/src/decide/membership.rs
@@ -2,7 +2,7 @@
 //! Nothing is decided about a request here.
 
 use super::{ASK, Balancer, LEAVE_MS, NOWHERE, REPORT_AGE, Server};
-use crate::draws::draws_for;
+use crate::draws::draw_count;
 use crate::interface::*;
 use marllink_rate_limits::{Budget, calls};
 use marllink_server_state::Event as Asked;
@@ -17,8 +17,8 @@
                 return;
             }
             ListKind::Cached => {
-                if self.settings.discovery == Discovery::Ask {
-                    let (nodes, within) = (self.settings.nodes, self.settings.rules.ask_within_ms);
+                if self.settings.discovery == Discovery::Pull {
+                    let (nodes, within) = (self.settings.nodes, self.settings.rules.fetch_within_ms);
                     let delay_ms = calls::first(nodes, within, self.uniform());
                     out.push(Action::SetTimer { delay_ms, token: ASK });
                 }
@@ -53,8 +53,8 @@
         let server = &mut self.servers[slot];
         if entry.started_at > server.track.started_at {
             // What was known of the process before does not hold for the new one.
-            server.track.failures = 0;
-            server.track.out_until = 0.0;
+            server.track.consecutive_failures = 0;
+            server.track.ejected_until = 0.0;
             server.track.budget = Budget::new(budget, self.now);
         }
         server.zone = entry.zone;
@@ -81,7 +81,7 @@
             loads: [(0.0, 0.0); REPORT_AGE],
             leave_by: f64::INFINITY,
             place: NOWHERE,
-            track: Track { strain: Strain::new(self.now), ..Track::default() },
+            track: ServerHistory { strain: Strain::new(self.now), ..ServerHistory::default() },
         };
         let slot = match self.free.pop() {
             Some(slot) => {
@@ -109,7 +109,7 @@
                 let server = &mut self.servers[slot];
                 let (strain, started_at, budget) =
                     (Strain::new(self.now), self.now, Budget::new(1.0, self.now));
-                server.track = Track { strain, started_at, budget, ..Track::default() };
+                server.track = ServerHistory { strain, started_at, budget, ..ServerHistory::default() };
             }
         }
         self.count_ready();
@@ -167,14 +167,14 @@
             max = max.max(s.weight);
             self.ready_weight += s.weight;
             self.ready_open += f64::from(s.open);
-            if s.track.out_until > self.now {
+            if s.track.ejected_until > self.now {
                 self.ejected.push(slot);
             } else {
                 s.place = self.pickable.len();
                 self.pickable.push(slot);
             }
         }
-        self.draws = draws_for(max, mean, min);
+        self.draws = draw_count(max, mean, min);
         self.least = min;
         self.weigh_warm();
     }
--- a/src/decide/succession.rs
+++ b/src/decide/succession.rs
@@ -8,22 +8,29 @@
 impl Balancer {
     /// What a successor is to know: it goes on as if it had seen all that this balancer has.
     #[must_use]
-    pub fn knowledge(&self) -> Knowledge {
+    pub fn learned_state(&self) -> LearnedState {
         let servers = self.index.iter().map(|(id, slot)| (*id, self.servers[*slot].track.clone())).collect();
         let sorted = |set: &FxHashSet<ServerId>| set.iter().copied().collect();
         let (out, back) = (sorted(&self.out), sorted(&self.back));
-        let fleet = Fleet { tried: self.retries.counts(), ..self.fleet.clone() };
-        Knowledge { now: self.now, servers, out, back, fleet, told: self.reports.told(self.now) }
+        let fleet = FleetHistory { limiter_counts: self.retries.counts(), ..self.fleet.clone() };
+        LearnedState {
+            now: self.now,
+            servers,
+            in_maintenance: out,
+            returned: back,
+            fleet,
+            reported_loads: self.reports.told(self.now),
+        }
     }
 
     /// Takes over what a predecessor knows. Its clock began elsewhere.
-    pub(super) fn take_over(&mut self, knowledge: Knowledge) {
+    pub(super) fn take_over(&mut self, knowledge: LearnedState) {
         let by = self.now - knowledge.now;
         self.fleet = knowledge.fleet.shifted(by);
-        self.retries.take_over(self.now, self.fleet.tried);
-        knowledge.told.into_iter().for_each(|(id, at, told)| self.reports.learn(at + by, id, told));
-        self.out.extend(knowledge.out);
-        self.back.extend(knowledge.back);
+        self.retries.take_over(self.now, self.fleet.limiter_counts);
+        knowledge.reported_loads.into_iter().for_each(|(id, at, told)| self.reports.learn(at + by, id, told));
+        self.out.extend(knowledge.in_maintenance);
+        self.back.extend(knowledge.returned);
         for (id, track) in knowledge.servers {
             if let Some(&slot) = self.index.get(&id) {
                 self.servers[slot].track = track.shifted(by);
--- a/src/draws.rs
+++ b/src/draws.rs
@@ -8,7 +8,7 @@
 ///
 /// `max`, `mean` and `min` are of the ready servers' weights, all positive.
 #[must_use]
-pub fn draws_for(max: f64, mean: f64, min: f64) -> usize {
+pub fn draw_count(max: f64, mean: f64, min: f64) -> usize {
     let (alpha, beta) = (max / mean, mean / min);
     let ab = alpha * beta;
     let f = ((ab - 1.0) / (alpha - 1.0)).ln() / ((ab - 1.0) / (ab - beta)).ln();
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -47,18 +47,18 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// A set-up within this time is worth the most.
-    pub aim_ms: Millis,
+    pub setup_goal_ms: Millis,
     /// Whether it may be repeated.
-    pub effect: Effect,
+    pub idempotency: Effect,
     /// Its worth relative to other classes.
-    pub worth: f64,
+    pub value: f64,
     /// The aim for a message on an open connection; 0 if there is none.
-    pub message_aim_ms: Millis,
+    pub message_goal_ms: Millis,
 }
 
 impl Default for Class {
     fn default() -> Self {
-        Self { aim_ms: 500.0, effect: Effect::Safe, worth: 1.0, message_aim_ms: 0.0 }
+        Self { setup_goal_ms: 500.0, idempotency: Effect::Safe, value: 1.0, message_goal_ms: 0.0 }
     }
 }
 
@@ -76,7 +76,7 @@
     #[default]
     Push,
     /// They come only after [`Action::WatchList`] or [`Action::FetchList`].
-    Ask,
+    Pull,
 }
 
 /// One value of a server's load report.
@@ -105,7 +105,7 @@
     pub cancel: bool,
     /// [`Action::Probe`] is allowed.
     pub probe: bool,
-    /// [`Action::TellPeer`] is allowed.
+    /// [`Action::SendToPeer`] is allowed.
     pub peers: bool,
     /// Clients are told how long to stay away.
     pub retry_after: bool,
@@ -131,25 +131,25 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
     /// A node without a subscription must ask for the list within this time.
-    pub ask_within_ms: Millis,
+    pub fetch_within_ms: Millis,
     /// A started server can do at least this share of its capacity.
-    pub cold_from: f64,
+    pub initial_capacity_ratio: f64,
     /// And all of it after this time.
-    pub warm_after_ms: Millis,
+    pub warm_up_ms: Millis,
     /// Sent more than this multiple of what it can do ...
-    pub tip_multiple: f64,
+    pub collapse_load_ratio: f64,
     /// ... for this long, a cold server falls over.
-    pub overload_for_ms: Millis,
+    pub collapse_after_ms: Millis,
 }
 
 impl Default for Rules {
     fn default() -> Self {
         Self {
-            ask_within_ms: 10_000.0,
-            cold_from: 0.1,
-            warm_after_ms: 30_000.0,
-            tip_multiple: 2.0,
-            overload_for_ms: 1_000.0,
+            fetch_within_ms: 10_000.0,
+            initial_capacity_ratio: 0.1,
+            warm_up_ms: 30_000.0,
+            collapse_load_ratio: 2.0,
+            collapse_after_ms: 1_000.0,
         }
     }
 }
@@ -164,7 +164,7 @@
     /// A request sent to another zone.
     pub cross_zone: f64,
     /// Worth that ended unserved after its aim.
-    pub late_fail: f64,
+    pub late_failure: f64,
 }
 
 /// All that a balancer is told at its start.
@@ -185,9 +185,9 @@
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
     /// What a connection of a tenant above its share is worth, of its usual worth.
-    pub over_share_worth: f64,
+    pub over_quota_value_ratio: f64,
     /// Connections of one group share work at the server that holds them.
-    pub groups: bool,
+    pub group_affinity: bool,
     /// What a probe's report holds, in order; empty where servers report nothing.
     pub report_fields: Vec<ReportField>,
     /// What the site allows.
@@ -199,11 +199,11 @@
 }
 
 /// A pick waits for servers' answers for this part of the shortest aim at most.
-const ASK_SHARE: f64 = 0.1;
+const PROBE_WAIT_RATIO: f64 = 0.1;
 
 impl Settings {
     /// What of each tenant is within its share, in open connections over all nodes; 0 for no bound.
-    pub(crate) fn quotas(&self) -> Vec<f64> {
+    pub(crate) fn tenant_quotas(&self) -> Vec<f64> {
         self.tenants.iter().map(|t| t.quota_connections).collect()
     }
 
@@ -215,16 +215,16 @@
 
     /// The strictest aim for a message; infinite where there is none.
     #[must_use]
-    pub fn slow_aim(&self) -> Millis {
-        let aims = self.classes.iter().map(|c| c.message_aim_ms).filter(|a| *a > 0.0);
+    pub fn strictest_message_goal(&self) -> Millis {
+        let aims = self.classes.iter().map(|c| c.message_goal_ms).filter(|a| *a > 0.0);
         aims.fold(f64::INFINITY, f64::min)
     }
 
     /// How servers are asked for their load.
-    pub(crate) fn asking(&self) -> marllink_server_state::Settings {
-        let aims = self.classes.iter().map(|c| c.aim_ms).filter(|a| *a > 0.0);
+    pub(crate) fn probe_settings(&self) -> marllink_server_state::Settings {
+        let aims = self.classes.iter().map(|c| c.setup_goal_ms).filter(|a| *a > 0.0);
         let usual = marllink_server_state::Settings::default();
-        let patience_ms = usual.patience_ms.min(aims.fold(f64::INFINITY, f64::min) * ASK_SHARE);
+        let patience_ms = usual.patience_ms.min(aims.fold(f64::INFINITY, f64::min) * PROBE_WAIT_RATIO);
         marllink_server_state::Settings { patience_ms, ..usual }
     }
 }
@@ -284,7 +284,7 @@
     pub time_left_ms: Millis,
     /// The client has tried before.
     pub retry: bool,
-    /// Its group, where [`Settings::groups`] says that there are any; 0 for none.
+    /// Its group, where [`Settings::group_affinity`] says that there are any; 0 for none.
     pub group: u64,
 }
 
@@ -390,11 +390,11 @@
         report: Vec<f32>,
     },
     /// A server looks as if it had fallen silent. To come as often as it is seen.
-    Silent {
+    Unresponsive {
         /// Which.
         server: ServerId,
         /// What speaks for it.
-        sign: Sign,
+        symptom: Sign,
     },
     /// The client has left; nothing is owed.
     ClientGone(RequestId),
@@ -412,9 +412,9 @@
     /// longer used stays in its place.
     Settings(Settings),
     /// What a predecessor knows, whose place this balancer takes. To come after the list.
-    TakeOver(Knowledge),
+    TakeOver(LearnedState),
     /// All that the predecessor holds as of now; nothing once it has ended.
-    Elsewhere(Vec<Holding>),
+    PredecessorHoldings(Vec<Holding>),
 }
 
 /// Attempts and connections of another process that is the same balancer.
@@ -431,28 +431,32 @@
 /// What a balancer has learnt, for its successor. Every figure in it is finite, so that it outlives
 /// being written down.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Knowledge {
+pub struct LearnedState {
     /// The time on the clock by which all of it is told.
     pub now: Millis,
     /// Of each server.
-    pub servers: Vec<(ServerId, Track)>,
+    pub servers: Vec<(ServerId, ServerHistory)>,
     /// Servers that the operators have taken out.
-    pub out: Vec<ServerId>,
+    #[serde(rename = "out")]
+    pub in_maintenance: Vec<ServerId>,
     /// Those that they have put back and that have held nothing since.
-    pub back: Vec<ServerId>,
+    #[serde(rename = "back")]
+    pub returned: Vec<ServerId>,
     /// Of the fleet.
-    pub fleet: Fleet,
+    pub fleet: FleetHistory,
     /// What servers have said of their load lately, and when.
-    pub told: Vec<(ServerId, Millis, Told)>,
+    #[serde(rename = "told")]
+    pub reported_loads: Vec<(ServerId, Millis, ReportedLoad)>,
 }
 
 /// What a server has said of its load.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Told {
+pub struct ReportedLoad {
     /// Over what it can do.
     pub load: f64,
     /// The own load in it, in microseconds of work a second.
-    pub own: f64,
+    #[serde(rename = "own")]
+    pub own_load: f64,
 }
 
 /// A point in time that is long past on any clock.
@@ -462,47 +466,51 @@
 
 /// What a balancer has learnt of one server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Track {
+pub struct ServerHistory {
     /// When it last started; 0 or less for long ago.
     pub started_at: Millis,
     /// What is known of slow messages there.
     pub strain: Strain,
     /// When it is relieved again at the earliest.
-    pub relieve_at: Millis,
+    #[serde(rename = "relieve_at")]
+    pub next_rebalance_at: Millis,
     /// Failures running.
-    pub failures: u32,
+    #[serde(rename = "failures")]
+    pub consecutive_failures: u32,
     /// When it failed last.
-    pub failed_at: Millis,
+    #[serde(rename = "failed_at")]
+    pub last_failure_at: Millis,
     /// Out of the ready set until then.
-    pub out_until: Millis,
+    #[serde(rename = "out_until")]
+    pub ejected_until: Millis,
     /// What this node may still send to it while cold.
     pub budget: Budget,
 }
 
-impl Default for Track {
+impl Default for ServerHistory {
     fn default() -> Self {
         Self {
             started_at: 0.0,
             strain: Strain::new(LONG_AGO),
-            relieve_at: LONG_AGO,
-            failures: 0,
-            failed_at: LONG_AGO,
-            out_until: LONG_AGO,
+            next_rebalance_at: LONG_AGO,
+            consecutive_failures: 0,
+            last_failure_at: LONG_AGO,
+            ejected_until: LONG_AGO,
             budget: Budget::new(0.0, LONG_AGO),
         }
     }
 }
 
-impl Track {
+impl ServerHistory {
     /// The same on a clock that shows so much more.
     #[must_use]
     pub fn shifted(self, by: Millis) -> Self {
         Self {
             started_at: if self.started_at > 0.0 { self.started_at + by } else { 0.0 },
             strain: self.strain.shifted(by),
-            relieve_at: self.relieve_at + by,
-            failed_at: self.failed_at + by,
-            out_until: self.out_until + by,
+            next_rebalance_at: self.next_rebalance_at + by,
+            last_failure_at: self.last_failure_at + by,
+            ejected_until: self.ejected_until + by,
             budget: self.budget.shifted(by),
             ..self
         }
@@ -511,33 +519,36 @@
 
 /// What a balancer has learnt of the fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Fleet {
+pub struct FleetHistory {
     /// Own set-ups for each unit of ready weight.
-    pub rate: Rate,
+    #[serde(rename = "rate")]
+    pub setup_rate: Rate,
     /// Attempts that failed lately, those that stood, and what may be spent on further ones.
-    pub tried: [f64; 3],
+    #[serde(rename = "tried")]
+    pub limiter_counts: [f64; 3],
     /// What a unit of weight can carry, by reports.
-    pub carrying: Carrying,
+    #[serde(rename = "carrying")]
+    pub capacity: Carrying,
     /// Own connections that all servers together are held to.
     pub shortage: Shortage,
 }
 
-impl Default for Fleet {
+impl Default for FleetHistory {
     fn default() -> Self {
         Self {
-            rate: Rate::new(1.0, LONG_AGO),
-            tried: [0.0; 3],
-            carrying: Carrying::default(),
+            setup_rate: Rate::new(1.0, LONG_AGO),
+            limiter_counts: [0.0; 3],
+            capacity: Carrying::default(),
             shortage: Shortage::new(LONG_AGO),
         }
     }
 }
 
-impl Fleet {
+impl FleetHistory {
     /// The same on a clock that shows so much more.
     #[must_use]
     pub fn shifted(self, by: Millis) -> Self {
-        Self { rate: self.rate.shifted(by), shortage: self.shortage.shifted(by), ..self }
+        Self { setup_rate: self.setup_rate.shifted(by), shortage: self.shortage.shifted(by), ..self }
     }
 }
 
@@ -561,7 +572,7 @@
         attempt: AttemptNo,
     },
     /// Final answer: refused; trying again is harmless.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// How long the client should stay away; 0 for no advice.
@@ -585,7 +596,7 @@
     /// Subscribe to the list's changes.
     WatchList,
     /// Send a message to one peer, or to all.
-    TellPeer {
+    SendToPeer {
         /// To whom; `None` for all.
         to: Option<NodeId>,
         /// What; 256 bytes at most.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -46,6 +46,6 @@
 mod variant;
 
 pub use decide::Balancer;
-pub use draws::draws_for;
+pub use draws::draw_count;
 pub use interface::*;
-pub use variant::{Plant, Variant};
+pub use variant::{InjectedBug, Variant};
--- a/src/variant.rs
+++ b/src/variant.rs
@@ -14,34 +14,41 @@
     /// How repeated attempts are limited.
     pub retries: Policy,
     /// A bug put back on purpose, which experiments must find.
-    pub plant: Option<Plant>,
+    #[serde(rename = "plant")]
+    pub injected_bug: Option<InjectedBug>,
 }
 
 impl Default for Variant {
     fn default() -> Self {
-        Self { retries: Policy::share(), plant: None }
+        Self { retries: Policy::share(), injected_bug: None }
     }
 }
 
 /// A bug put back on purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
+#[cfg_attr(feature = "schema", schemars(rename = "Plant"))]
 #[serde(rename_all = "kebab-case")]
-pub enum Plant {
+pub enum InjectedBug {
     /// The zone credit counts for more on a smaller server, and ties fall evenly.
     CreditByWeight,
     /// A draining server is left by at least one connection at each housekeeping.
-    LeaveAtOnce,
+    #[serde(rename = "leave-at-once")]
+    DrainAtLeastOne,
     /// Whatever fails is tried again at once, as often as is allowed.
     RetryStorm,
     /// Each balancer sends a cold server what all together may.
-    ColdSum,
+    #[serde(rename = "cold-sum")]
+    ColdBudgetNotDivided,
     /// The decisions are not told of servers that look silent, only of slow messages.
-    SilenceUntold,
+    #[serde(rename = "silence-untold")]
+    UnresponsiveNotReported,
     /// Where lists are pushed, nobody opens the watch by which they come.
-    NeverWatch,
+    #[serde(rename = "never-watch")]
+    WatchNeverOpened,
     /// The decisions are not told what tenants may use.
-    TenantBlind,
+    #[serde(rename = "tenant-blind")]
+    TenantQuotasUnknown,
     /// All that a slow server holds over its limit is moved, though others are as slow.
     MoveWhenAllSlow,
 }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -159,7 +159,7 @@
 #[test]
 fn a_node_that_must_ask_subscribes_and_asks_again_soon_and_spread_however_often_it_fails() {
     let mut settings = settings();
-    settings.discovery = Discovery::Ask;
+    settings.discovery = Discovery::Pull;
     settings.nodes = 40;
     let mut waits = Vec::new();
     for seed in 0..20 {
@@ -173,7 +173,7 @@
                 _ => None,
             });
             let wait = asks.expect("a time to ask");
-            assert!(wait < settings.rules.ask_within_ms, "asks within {wait}");
+            assert!(wait < settings.rules.fetch_within_ms, "asks within {wait}");
             if round == 1 {
                 waits.push(wait as u64);
             }
@@ -270,7 +270,7 @@
 #[test]
 fn a_held_request_is_sent_when_a_server_comes_and_refused_when_none_does() {
     let mut settings = settings();
-    settings.classes[0].aim_ms = 1_000.0;
+    settings.classes[0].setup_goal_ms = 1_000.0;
     let mut node = Node::new(settings, Vec::new());
     let (first, actions) = node.ask(3_000.0);
     assert!(actions.is_empty(), "held: {actions:?}");
@@ -285,7 +285,7 @@
         answers.extend(node.on(Event::Timer(TimerToken(0))));
     }
     answers.retain(|a| !matches!(a, Action::SetTimer { .. }));
-    assert_eq!(answers, [Action::Refuse { request: second, retry_after_ms: 0.0 }]);
+    assert_eq!(answers, [Action::Reject { request: second, retry_after_ms: 0.0 }]);
 }
 
 /// A node whose site lets it probe, with all that has come due asked.
@@ -523,10 +523,10 @@
     settings.limits.probe = true;
     settings.report_fields = vec![ReportField::Utilization, ReportField::InFlight];
     settings.rules = Rules {
-        cold_from: 0.35,
-        warm_after_ms: 9_000.0,
-        tip_multiple: 3.0,
-        overload_for_ms: 3_000.0,
+        initial_capacity_ratio: 0.35,
+        warm_up_ms: 9_000.0,
+        collapse_load_ratio: 3.0,
+        collapse_after_ms: 3_000.0,
         ..settings.rules
     };
     let mut node = Node::new(settings, entries(4));
@@ -607,7 +607,7 @@
 fn a_class_that_may_not_run_twice_is_answered_at_once_when_it_may_have_run() {
     // Held back for a server that could not be used anyhow, the answer came at the end of the aim.
     let mut settings = settings();
-    settings.classes[0].effect = Effect::Unsafe;
+    settings.classes[0].idempotency = Effect::Unsafe;
     let mut node = Node::new(settings, entries(3));
     let (request, actions) = node.ask(2_000.0);
     assert!(matches!(actions[..], [Action::Send { timeout_ms: 2_000.0, .. }]), "{actions:?}");
@@ -633,15 +633,15 @@
     (1..=4).for_each(|id| report(&mut old, ServerId(id), 0.5));
     let mut new = probing(4);
     new.now = 500_000.0;
-    new.on(Event::TakeOver(old.balancer.knowledge()));
-    new.on(Event::Elsewhere(old.balancer.holdings()));
+    new.on(Event::TakeOver(old.balancer.learned_state()));
+    new.on(Event::PredecessorHoldings(old.balancer.holdings()));
     let mut moved = tick(&mut new);
     (1..=4).for_each(|id| report(&mut new, ServerId(id), 0.5));
     let mut left = old.balancer.holdings();
     for (i, server) in loaded.into_iter().enumerate() {
         let held = left.iter_mut().find(|held| held.server == server).expect("it is held");
         (held.open, held.load) = (held.open - 1, held.load - 1_000.0);
-        new.on(Event::Elsewhere(left.clone()));
+        new.on(Event::PredecessorHoldings(left.clone()));
         let request = NewRequest { request: RequestId(1_000 + i as u64), ..NewRequest::default() };
         new.on(Event::OpenConnection { request, server });
         new.on(Event::ConnectionLoad { request: RequestId(1_000 + i as u64), load: 1_000.0 });
@@ -665,12 +665,12 @@
         }
         old.now += 60.0;
     }
-    let told = old.balancer.knowledge();
+    let told = old.balancer.learned_state();
     let mut new = Node::seeded(2, settings(), entries(4));
     new.now = 700_000.0;
     new.on(Event::TakeOver(told.clone()));
-    let again = new.balancer.knowledge();
-    assert_eq!(again.out, [ServerId(1)]);
+    let again = new.balancer.learned_state();
+    assert_eq!(again.in_maintenance, [ServerId(1)]);
     let by = new.now - told.now;
     for (id, track) in told.servers {
         let known = again.servers.iter().find(|(other, _)| *other == id).expect("it is known");
@@ -691,8 +691,13 @@
         settings.report_fields = vec![ReportField::Utilization, ReportField::InFlight];
         let (cold_from, warm_after_ms) = (0.35, 9_000.0);
         let (tip_multiple, overload_for_ms) = (3.0, 3_000.0);
-        settings.rules =
-            Rules { cold_from, warm_after_ms, tip_multiple, overload_for_ms, ..Rules::default() };
+        settings.rules = Rules {
+            initial_capacity_ratio: cold_from,
+            warm_up_ms: warm_after_ms,
+            collapse_load_ratio: tip_multiple,
+            collapse_after_ms: overload_for_ms,
+            ..Rules::default()
+        };
         let mut node = Node::new(settings, entries(4));
         node.shares(400);
         node.now += 5_000.0;
@@ -734,10 +739,10 @@
     let (mut node, placed) = zones_in_use();
     node.now += 2_000.0;
     node.told.clear();
-    let actions = node.on(Event::Silent { server: ServerId(2), sign: Sign::Unanswered });
+    let actions = node.on(Event::Unresponsive { server: ServerId(2), symptom: Sign::Unanswered });
     assert!(actions.contains(&Action::Probe(ServerId(2))) && moved(&actions).is_empty(), "{actions:?}");
     node.now += 200.0;
-    let actions = node.on(Event::Silent { server: ServerId(2), sign: Sign::NoConnection });
+    let actions = node.on(Event::Unresponsive { server: ServerId(2), symptom: Sign::NoConnection });
     let there = |server: u64| placed.iter().filter(move |p| p.1 == ServerId(server)).map(|p| p.0);
     let (mut gone, mut held) = (moved(&actions), there(2).collect::<Vec<_>>());
     gone.sort();
@@ -747,7 +752,7 @@
     assert!(actions.contains(&Action::Probe(ServerId(3))), "{actions:?}");
     assert!(!actions.iter().any(|a| matches!(a, Action::Probe(ServerId(0 | 1)))), "{actions:?}");
     node.now += 200.0;
-    let actions = node.on(Event::Silent { server: ServerId(3), sign: Sign::NoConnection });
+    let actions = node.on(Event::Unresponsive { server: ServerId(3), symptom: Sign::NoConnection });
     assert_eq!(moved(&actions).len(), there(3).count());
 }
 
@@ -755,11 +760,13 @@
 fn a_server_that_answers_late_is_asked_and_keeps_its_connections() {
     let (mut node, _) = zones_in_use();
     node.now += 2_000.0;
-    let actions = node.on(Event::Silent { server: ServerId(2), sign: Sign::Unanswered });
+    let actions = node.on(Event::Unresponsive { server: ServerId(2), symptom: Sign::Unanswered });
     assert!(actions.contains(&Action::Probe(ServerId(2))), "{actions:?}");
     // It has answered that; a first packet that is lost later says nothing.
     node.now += 200.0;
-    assert!(moved(&node.on(Event::Silent { server: ServerId(2), sign: Sign::NoConnection })).is_empty());
+    assert!(
+        moved(&node.on(Event::Unresponsive { server: ServerId(2), symptom: Sign::NoConnection })).is_empty()
+    );
 }
 
 #[test]
@@ -771,7 +778,7 @@
     settings.report_fields = vec![ReportField::Utilization];
     let mut node = Node::new(settings, entries(1));
     let mut actions = Vec::new();
-    let doubt = Event::Silent { server: ServerId(1), sign: Sign::Unanswered };
+    let doubt = Event::Unresponsive { server: ServerId(1), symptom: Sign::Unanswered };
     node.balancer.handle(node.now, doubt, &mut actions);
     assert_eq!(actions, [Action::Probe(ServerId(1))]);
     actions.clear();
--- a/tests/heritage.rs
+++ b/tests/heritage.rs
@@ -7,7 +7,7 @@
 use support::*;
 
 /// True if every figure in it outlives being written down as JSON, which has no infinity.
-fn can_be_written(knowledge: &Knowledge) -> bool {
+fn can_be_written(knowledge: &LearnedState) -> bool {
     let text = format!("{knowledge:?}");
     !text.contains("inf") && !text.contains("NaN")
 }
@@ -18,9 +18,9 @@
         zones: 2,
         prices: Prices { cross_zone: 0.026, ..Prices::default() },
         rules: Rules {
-            warm_after_ms: 23_000.0,
-            tip_multiple: 3.0,
-            overload_for_ms: 3_000.0,
+            warm_up_ms: 23_000.0,
+            collapse_load_ratio: 3.0,
+            collapse_after_ms: 3_000.0,
             ..Rules::default()
         },
         ..settings()
@@ -35,7 +35,7 @@
     for _ in 0..200 {
         node.now += 100.0;
         node.place();
-        assert!(can_be_written(&node.balancer.knowledge()), "at {} ms", node.now);
+        assert!(can_be_written(&node.balancer.learned_state()), "at {} ms", node.now);
     }
 }
 
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -6,9 +6,9 @@
 use marllink::*;
 use support::*;
 
-/// draws_for takes the largest, mean and smallest weight: alpha = max / mean, beta = mean / min.
+/// draw_count takes the largest, mean and smallest weight: alpha = max / mean, beta = mean / min.
 fn draws(alpha: f64, beta: f64) -> usize {
-    draws_for(alpha, 1.0, 1.0 / beta)
+    draw_count(alpha, 1.0, 1.0 / beta)
 }
 
 #[test]
@@ -20,7 +20,7 @@
 
 #[test]
 fn equal_weights_take_two_draws() {
-    assert_eq!(draws_for(4.0, 4.0, 4.0), 2);
+    assert_eq!(draw_count(4.0, 4.0, 4.0), 2);
 }
 
 #[test]
@@ -33,7 +33,7 @@
 
 #[test]
 fn absurd_weights_do_not_cost_the_whole_fleet() {
-    assert!(draws_for(1e30, 1.0, 1e-30) <= 32);
+    assert!(draw_count(1e30, 1.0, 1e-30) <= 32);
 }
 
 #[test]
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -55,10 +55,15 @@
     fn new() -> Self {
         let mut settings = settings();
         settings.nodes = 3;
-        settings.discovery = Discovery::Ask;
+        settings.discovery = Discovery::Pull;
         // Aims long enough for some requests to be held.
         settings.classes = (effects().into_iter().zip([300.0, 500.0, 600.0, 700.0, 800.0]))
-            .map(|(effect, aim_ms)| Class { aim_ms, effect, message_aim_ms: 50.0, ..Class::default() })
+            .map(|(effect, aim_ms)| Class {
+                setup_goal_ms: aim_ms,
+                idempotency: effect,
+                message_goal_ms: 50.0,
+                ..Class::default()
+            })
             .collect();
         let list: Vec<_> = (1..=12).map(|id| host(id, ServerState::Ready, 0.0)).collect();
         let listed = list.iter().map(|e| (e.server, e.clone())).collect();
@@ -102,7 +107,7 @@
                     seen.out = Some((seen.attempts, server, end, now));
                     seen.attempts += 1;
                 }
-                Action::Refuse { request, .. } => {
+                Action::Reject { request, .. } => {
                     let seen = self.requests.get_mut(&request).expect("a request that was given");
                     let unharmed = match seen.effect {
                         Effect::Safe | Effect::Keyed { scope: KeyScope::All, .. } => true,
@@ -318,10 +323,10 @@
     ) {
         let mut settings = settings();
         settings.rules = Rules {
-            cold_from: 0.13,
-            warm_after_ms: 20_000.0,
-            tip_multiple: 3.0,
-            overload_for_ms: 3_000.0,
+            initial_capacity_ratio: 0.13,
+            warm_up_ms: 20_000.0,
+            collapse_load_ratio: 3.0,
+            collapse_after_ms: 3_000.0,
             ..Rules::default()
         };
         let rules = settings.rules.clone();
@@ -358,11 +363,11 @@
         // What the others carry for each server, full for a server of its size at most.
         let fair = f64::from(per_second) / 1_000.0 / servers as f64;
         for (i, from) in cold_sends.iter().enumerate() {
-            let end = from + rules.overload_for_ms;
+            let end = from + rules.collapse_after_ms;
             let sends = cold_sends[i..].iter().take_while(|at| **at < end).count() as f64;
-            let warmth = ((from - born) / rules.warm_after_ms).min(1.0);
-            let capacity = rules.cold_from + (1.0 - rules.cold_from) * warmth;
-            let tips = rules.tip_multiple * capacity * fair * rules.overload_for_ms;
+            let warmth = ((from - born) / rules.warm_up_ms).min(1.0);
+            let capacity = rules.initial_capacity_ratio + (1.0 - rules.initial_capacity_ratio) * warmth;
+            let tips = rules.collapse_load_ratio * capacity * fair * rules.collapse_after_ms;
             // One connection is the least that can be sent.
             prop_assert!(sends <= tips.max(1.0) + 1.0, "{} sent, {} tips it", sends, tips);
         }
--- a/tests/sharing.rs
+++ b/tests/sharing.rs
@@ -12,9 +12,9 @@
     let tenant = |quota_connections| Tenant { quota_connections };
     Settings {
         nodes: 3,
-        groups,
+        group_affinity: groups,
         tenants: vec![tenant(59.0), tenant(41.0)],
-        over_share_worth: 0.1,
+        over_quota_value_ratio: 0.1,
         ..settings()
     }
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -15,7 +15,7 @@
 pub fn settings() -> Settings {
     Settings {
         nodes: 1,
-        classes: vec![Class { aim_ms: 300.0, message_aim_ms: 50.0, ..Class::default() }],
+        classes: vec![Class { setup_goal_ms: 300.0, message_goal_ms: 50.0, ..Class::default() }],
         limits: Limits { max_attempts: 4, cancel: true, ..Limits::default() },
         ..Settings::default()
     }
@@ -114,5 +114,5 @@
 }
 
 pub fn answered(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail(_))).count()
+    actions.iter().filter(|a| matches!(a, Action::Reject { .. } | Action::Fail(_))).count()
 }
