--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -47,7 +47,7 @@
                         what: format!("settings of instance {instance}: {e}"),
                         ..start
                     })?;
-                    self.balancers[at] = Some(Balancer::new(settings.decisions, seed, now));
+                    self.balancers[at] = Some(Balancer::new(settings.balancing, seed, now));
                     continue;
                 }
                 Record::Event(event) => event,
--- a/config/src/lib.rs
+++ b/config/src/lib.rs
@@ -36,9 +36,9 @@
     #[schemars(range(min = 1, max = 86_400))]
     pub trusted_s: u32,
     /// Form hosts of such a list that are asked at once.
-    #[serde(default = "asked_at_once")]
+    #[serde(default = "asked_at_once", rename = "asked_at_once")]
     #[schemars(range(min = 1, max = 256))]
-    pub asked_at_once: u16,
+    pub concurrent_probes: u16,
 }
 
 /// Sessions that outlive the form host that holds them.
@@ -51,9 +51,9 @@
     pub keys: PathBuf,
     /// Keepers of a session, 1, 3 or 5: so many form hosts store what it has saved, and any minority
     /// of them may be lost at once.
-    #[serde(default = "three")]
+    #[serde(default = "three", rename = "keepers")]
     #[schemars(extend("enum" = [1, 3, 5]))]
-    pub keepers: u8,
+    pub replicas: u8,
     /// How long a lease runs, in milliseconds: a form host that is cut off lets go after that.
     #[serde(default = "lease_ms")]
     #[schemars(range(min = 200, max = 30_000))]
@@ -67,29 +67,29 @@
     #[schemars(range(min = 10, max = 86_400))]
     pub token_s: u32,
     /// The most that one session's journal may hold, in KiB.
-    #[serde(default = "journal_kib")]
+    #[serde(default = "journal_kib", rename = "journal_kib")]
     #[schemars(range(min = 1, max = 512))]
-    pub journal_kib: u32,
+    pub max_journal_kib: u32,
     /// The most that all journals in a balancer may hold, in MiB.
-    #[serde(default = "journals_mib")]
+    #[serde(default = "journals_mib", rename = "journals_mib")]
     #[schemars(range(min = 1, max = 16_384))]
-    pub journals_mib: u32,
+    pub max_total_journals_mib: u32,
     /// Saves of one session that may wait to be confirmed.
-    #[serde(default = "window")]
+    #[serde(default = "window", rename = "window")]
     #[schemars(range(min = 1, max = 4_096))]
-    pub window: u32,
+    pub max_unconfirmed_saves: u32,
     /// Sessions of one balancer, those included whose client is away.
-    #[serde(default = "most_sessions")]
+    #[serde(default = "most_sessions", rename = "most_sessions")]
     #[schemars(range(min = 1, max = 1_000_000))]
-    pub most_sessions: u32,
+    pub max_sessions: u32,
     /// A claim that has not come to anything after so long is given up, in milliseconds.
-    #[serde(default = "claim_ms")]
+    #[serde(default = "claim_ms", rename = "claim_ms")]
     #[schemars(range(min = 50, max = 10_000))]
-    pub claim_ms: u32,
+    pub claim_timeout_ms: u32,
     /// Form hosts at most that one balancer has new sessions kept by.
-    #[serde(default = "most_links")]
+    #[serde(default = "most_links", rename = "most_links")]
     #[schemars(range(min = 1, max = 1_024))]
-    pub most_links: u32,
+    pub max_links: u32,
 }
 
 fn trusted_s() -> u32 {
@@ -134,16 +134,16 @@
     #[must_use]
     pub fn settings(&self) -> marllink_sessions::Settings {
         marllink_sessions::Settings {
-            keepers: usize::from(self.keepers),
+            keepers: usize::from(self.replicas),
             lease_ms: f64::from(self.lease_ms),
             drift: f64::from(self.clock_drift_percent) / 100.0,
             token_ms: f64::from(self.token_s) * 1_000.0,
-            journal_bytes: self.journal_kib as usize * 1024,
-            journals_bytes: self.journals_mib as usize * 1024 * 1024,
-            window: self.window as usize,
-            most_sessions: self.most_sessions as usize,
-            patience_ms: f64::from(self.claim_ms),
-            most_links: self.most_links as usize,
+            journal_bytes: self.max_journal_kib as usize * 1024,
+            journals_bytes: self.max_total_journals_mib as usize * 1024 * 1024,
+            window: self.max_unconfirmed_saves as usize,
+            most_sessions: self.max_sessions as usize,
+            patience_ms: f64::from(self.claim_timeout_ms),
+            most_links: self.max_links as usize,
         }
     }
 }
@@ -154,17 +154,17 @@
     /// The file.
     pub file: String,
     /// Where in it: a JSON pointer (RFC 6901), or line and column if it is no JSON.
-    pub at: String,
+    pub location: String,
     /// What was found there.
     pub found: String,
     /// What is wanted.
-    pub wanted: String,
+    pub expected: String,
 }
 
 impl fmt::Display for Problem {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { file, at, found, wanted } = self;
-        write!(f, "{file}: {at}: {found}; wanted: {wanted}")
+        let Self { file, location, found, expected } = self;
+        write!(f, "{file}: {location}: {found}; wanted: {expected}")
     }
 }
 
@@ -181,16 +181,24 @@
 /// # Errors
 /// Tells everything that is wrong with it.
 pub fn parse(file: &str, text: &str) -> Result<Operators, Vec<Problem>> {
-    read(file, text, &schema())
+    parse_with_schema(file, text, &schema())
 }
 
 /// Reads any value that has a schema, checked by that first.
 ///
 /// # Errors
 /// Tells everything that is wrong with it.
-pub fn read<T: for<'a> Deserialize<'a>>(file: &str, text: &str, schema: &Value) -> Result<T, Vec<Problem>> {
-    let problem =
-        |at: String, found: String, wanted: String| Problem { file: file.into(), at, found, wanted };
+pub fn parse_with_schema<T: for<'a> Deserialize<'a>>(
+    file: &str,
+    text: &str,
+    schema: &Value,
+) -> Result<T, Vec<Problem>> {
+    let problem = |location: String, found: String, expected: String| Problem {
+        file: file.into(),
+        location,
+        found,
+        expected,
+    };
     let value: Value = serde_json::from_str(text).map_err(|e| {
         let at = format!("line {}, column {}", e.line(), e.column());
         vec![problem(at, e.to_string(), "JSON (RFC 8259)".into())]
--- a/emulator/src/model/keeper.rs
+++ b/emulator/src/model/keeper.rs
@@ -69,7 +69,7 @@
             // That is the holder's.
             call::Body::LetGo(_) => return None,
         };
-        Some(Reply::of(body))
+        Some(Reply::new(body))
     }
 
     /// Records that are kept now.
--- a/emulator/src/sockets/hosts.rs
+++ b/emulator/src/sockets/hosts.rs
@@ -3,7 +3,7 @@
 
 use super::{Ledger, sleep};
 use crate::model::{Holder, Keeper, Millis, Plant, Say};
-use marllink_lease_protocol::{self as keep, Ballot, Call, Frames, Reply, SessionId, call, reply};
+use marllink_lease_protocol::{self as keep, Ballot, Call, FrameReader, Reply, SessionId, call, reply};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
 use std::io::ErrorKind;
@@ -247,7 +247,7 @@
         connection: u64,
         stream: &TcpStream,
     ) -> std::io::Result<()> {
-        let mut frames = Frames::default();
+        let mut frames = FrameReader::default();
         let out = Rc::new(Out::default());
         host.outs.borrow_mut().insert(connection, out.clone());
         let mut owner = None;
@@ -260,12 +260,12 @@
                         self.called(host, owner, &call, &out);
                     }
                 } else {
-                    while let Some(line) = frames.line() {
+                    while let Some(line) = frames.next_line() {
                         let (word, rest) = line.trim_end().split_once(' ').unwrap_or((line.trim_end(), ""));
                         match word {
                             "KEEP" => {
-                                owner = keep::read_hello(&line);
-                                out.push(keep::welcome(host.life.get()).into_bytes());
+                                owner = keep::parse_hello(&line);
+                                out.push(keep::welcome_line(host.life.get()).into_bytes());
                                 break;
                             }
                             "PING" => out.push(b"PONG\r\n".to_vec()),
@@ -299,7 +299,7 @@
                 }
                 stream.readable().await?;
                 self.gate(host, balancer).await;
-                match stream.try_read_buf(frames.room()) {
+                match stream.try_read_buf(frames.read_buffer()) {
                     Ok(0) => return Ok(()),
                     Ok(_) => {}
                     Err(e) if e.kind() == ErrorKind::WouldBlock => {}
@@ -363,13 +363,13 @@
             let mut says = Vec::new();
             host.holder.borrow_mut().let_go(now, ask.session, ask.ballot, &mut says);
             self.say(host, says);
-            Some(Reply::of(reply::Body::LetGo(*ask)))
+            Some(Reply::new(reply::Body::LetGo(*ask)))
         } else {
             host.keeper.borrow_mut().handle(now, owner, call)
         };
         if let Some(reply) = reply {
             let mut frame = Vec::new();
-            keep::write(&reply, &mut frame);
+            keep::write_frame(&reply, &mut frame);
             out.push(frame);
         }
     }
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -252,7 +252,7 @@
     let problems = |all: Vec<marllink_config::Problem>| {
         all.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
     };
-    let value = marllink_config::read(&name, &text, schema).map_err(problems)?;
+    let value = marllink_config::parse_with_schema(&name, &text, schema).map_err(problems)?;
     Ok((name, value))
 }
 
--- a/lease-protocol/src/messages.rs
+++ b/lease-protocol/src/messages.rs
@@ -249,7 +249,7 @@
 impl Call {
     /// A call of this.
     #[must_use]
-    pub fn of(body: call::Body) -> Self {
+    pub fn new(body: call::Body) -> Self {
         Self { body: Some(body) }
     }
 }
@@ -394,7 +394,7 @@
 impl Reply {
     /// A reply of this.
     #[must_use]
-    pub fn of(body: reply::Body) -> Self {
+    pub fn new(body: reply::Body) -> Self {
         Self { body: Some(body) }
     }
 }
--- a/node/src/cli.rs
+++ b/node/src/cli.rs
@@ -150,13 +150,13 @@
 fn check_configuration(name: &str, text: &[u8], json: bool) -> Result<String, String> {
     let named = |variable: &str| (variable == "NODE_CONFIG").then(|| name.to_owned());
     let config = crate::operations::config::load(named, |_| Ok(text.to_vec()))?;
-    let parts = marllink_settings::parts(&config.settings);
+    let parts = marllink_settings::features(&config.settings);
     if json {
         return serde_json::to_string_pretty(&parts).map_err(|e| e.to_string());
     }
     let widest = parts.iter().map(|part| part.name.len()).max().unwrap_or_default();
-    let line = |part: &marllink_settings::Part| {
-        format!("\n{:widest$}  {:3}  {}", part.name, if part.on { "on" } else { "off" }, part.why)
+    let line = |part: &marllink_settings::Feature| {
+        format!("\n{:widest$}  {:3}  {}", part.name, if part.enabled { "on" } else { "off" }, part.reason)
     };
     Ok(format!("{name}: sound") + &parts.iter().map(line).collect::<String>())
 }
@@ -169,7 +169,10 @@
     let name = folder.display();
     let said = |error: marllink_store::Error| format!("{name}: {error}");
     let found = marllink_store::read(folder).map_err(said)?;
-    let counts = format!("{} records, {} bytes, {} damaged", found.records, found.bytes, found.damaged);
+    let counts = format!(
+        "{} records, {} bytes, {} damaged",
+        found.record_count, found.total_bytes, found.damaged_bytes
+    );
     match command {
         StateCommand::Show { .. } => {
             let line = |record: &marllink_store::Record| {
@@ -182,15 +185,15 @@
             };
             Ok(format!("{name}: {counts}") + &found.latest.values().map(line).collect::<String>())
         }
-        StateCommand::Check { .. } if found.damaged > 0 => Err(format!("{name}: {counts}")),
+        StateCommand::Check { .. } if found.damaged_bytes > 0 => Err(format!("{name}: {counts}")),
         StateCommand::Check { .. } => Ok(format!("{name}: sound, {counts}")),
         StateCommand::Export { .. } => serde_json::to_string_pretty(&found.latest).map_err(|e| e.to_string()),
         StateCommand::Compact { .. } => {
-            let disk = marllink_store::FileDisk::take(folder).map_err(said)?;
-            let mut store = marllink_store::Folder::open(disk).map_err(said)?;
+            let disk = marllink_store::FileDisk::lock(folder).map_err(said)?;
+            let mut store = marllink_store::Store::open(disk).map_err(said)?;
             store.compact().map_err(said)?;
             let after = marllink_store::read(folder).map_err(said)?;
-            Ok(format!("{name}: {counts}; now {} records, {} bytes", after.records, after.bytes))
+            Ok(format!("{name}: {counts}; now {} records, {} bytes", after.record_count, after.total_bytes))
         }
     }
 }
--- a/node/src/exchange/holders.rs
+++ b/node/src/exchange/holders.rs
@@ -167,7 +167,7 @@
         let (exchange, request) = (&self.exchange, self.id);
         let now = exchange.clock.now();
         pipe.waiting.borrow_mut().heard(now);
-        if exchange.tuning.now().tells_delay {
+        if exchange.tuning.now().servers_report_delay {
             let mut delays = exchange.delays.borrow_mut();
             let (stood_at, load_before) = (pipe.stood_at.get(), pipe.load.get());
             let (delay_at, bound) = (delays.told_at(self.server), delays.bound());
--- a/node/src/exchange/mod.rs
+++ b/node/src/exchange/mod.rs
@@ -191,11 +191,9 @@
         let settings = self.tuning.now();
         let names = &settings.names;
         // A class taken for another would be served as what it is not.
-        let class = names.classes.number(&opening.class).ok_or("no such class")?;
+        let class = names.classes.id(&opening.class).ok_or("no such class")?;
         let tenant = match &opening.tenant {
-            Some(tenant) if !names.tenants.is_empty() => {
-                names.tenants.number(tenant).ok_or("no such tenant")?
-            }
+            Some(tenant) if !names.tenants.is_empty() => names.tenants.id(tenant).ok_or("no such tenant")?,
             _ => 0,
         };
         // Form hosts tell connections apart by their ids: a second one would be a copy of the first.
@@ -382,8 +380,8 @@
         // The predecessor may still tell that it holds this id, but it can't be open here.
         let Some(id_in_use) = IdInUse::take(id, &self.in_use) else { return };
         let names = &self.tuning.now().names;
-        let number = names.classes.number_once(&class);
-        let of_tenant = tenant.as_ref().and_then(|tenant| names.tenants.number_once(tenant));
+        let number = names.classes.id_including_withdrawn(&class);
+        let of_tenant = tenant.as_ref().and_then(|tenant| names.tenants.id_including_withdrawn(tenant));
         let (request, exchange) = (self.core.number_request(), self.me.upgrade().expect("it is in use"));
         let pipe = Pipe::new();
         pipe.standing.set(true);
@@ -630,8 +628,8 @@
     /// How attempts to restore a connection of this class may be repeated.
     fn restores(&self, class: &str) -> Restores {
         let settings = self.tuning.now();
-        let number = settings.names.classes.number(class);
-        let class = number.and_then(|number| settings.decisions.classes.get(usize::from(number)));
+        let number = settings.names.classes.id(class);
+        let class = number.and_then(|number| settings.balancing.classes.get(usize::from(number)));
         match class.map(|class| class.effect) {
             Some(Effect::Safe) => Restores::Always,
             Some(_) | None => Restores::IfNeverRan,
@@ -652,7 +650,7 @@
 
 fn strictest_aim(tuning: &Tuning) -> Millis {
     let settings = tuning.now();
-    let aims = settings.decisions.classes.iter().map(|c| c.message_aim_ms).filter(|aim| *aim > 0.0);
+    let aims = settings.balancing.classes.iter().map(|c| c.message_aim_ms).filter(|aim| *aim > 0.0);
     aims.fold(f64::INFINITY, f64::min)
 }
 
@@ -669,7 +667,7 @@
         let attempt = AttemptNo(entry.attempts);
         entry.attempts = entry.attempts.saturating_add(1);
         let allowed = matches!(entry.phase, Phase::Waiting)
-            && entry.attempts <= self.tuning.now().decisions.limits.max_attempts.max(1);
+            && entry.attempts <= self.tuning.now().balancing.limits.max_attempts.max(1);
         let way = self.directory.address(server).filter(|_| allowed);
         let Some((address, descriptor)) =
             way.and_then(|a| Some((a, self.descriptors.take(Purpose::Served)?)))
--- a/node/src/exchange/resume.rs
+++ b/node/src/exchange/resume.rs
@@ -142,7 +142,7 @@
             }
             Command::Call { server, call } => {
                 let mut frame = Vec::new();
-                keep::write(&call, &mut frame);
+                keep::write_frame(&call, &mut frame);
                 let taken = self.links.borrow().get(&server).is_none_or(|link| link.words.add(&frame));
                 if !taken {
                     // Nobody reads at the other end.
@@ -152,7 +152,7 @@
             }
             Command::Proceed(request) => exchange.proceed(request),
             Command::Refuse { request, retry_after_ms } => {
-                let limits = &self.tuning.now().decisions.limits;
+                let limits = &self.tuning.now().balancing.limits;
                 let told =
                     if limits.retry_after { retry_after_ms.min(limits.max_retry_after_ms) } else { 0.0 };
                 tracing::debug!(event = "session_refused", request = request.0, retry_after_ms = told);
--- a/node/src/front/line.rs
+++ b/node/src/front/line.rs
@@ -189,7 +189,7 @@
             return Err(RejectReason::Refused(0.0));
         }
         let Some(descriptor) = self.descriptors.take(Purpose::Served) else {
-            let limits = &self.tuning.now().decisions.limits;
+            let limits = &self.tuning.now().balancing.limits;
             return Err(RejectReason::Refused(if limits.retry_after {
                 limits.max_retry_after_ms
             } else {
--- a/node/src/host/links.rs
+++ b/node/src/host/links.rs
@@ -7,7 +7,7 @@
 use crate::io::pump::{self, Between};
 use marllink::ServerId;
 use marllink_sessions::Event;
-use marllink_sessions::keep::{self, Frames, Reply};
+use marllink_sessions::keep::{self, FrameReader, Reply};
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
 use tokio::net::TcpStream;
@@ -45,24 +45,33 @@
     }
 }
 
-async fn greet(clock: &Clock, address: SocketAddr, owner: u64) -> Result<(TcpStream, u64, Frames), String> {
+async fn greet(
+    clock: &Clock,
+    address: SocketAddr,
+    owner: u64,
+) -> Result<(TcpStream, u64, FrameReader), String> {
     let stream = connect(clock, address, LINK_MS).await.map_err(|e| e.to_string())?;
     let _ = stream.set_nodelay(true);
-    pump::write_all(&stream, keep::hello(owner).as_bytes()).await.map_err(|e| e.to_string())?;
-    let mut frames = Frames::default();
+    pump::write_all(&stream, keep::hello_line(owner).as_bytes()).await.map_err(|e| e.to_string())?;
+    let mut frames = FrameReader::default();
     loop {
-        if let Some(line) = frames.line() {
-            let incarnation = keep::read_welcome(&line).ok_or("it is no keeper")?;
+        if let Some(line) = frames.next_line() {
+            let incarnation = keep::parse_welcome(&line).ok_or("it is no keeper")?;
             return Ok((stream, incarnation, frames));
         }
-        let more = pump::read_more(&stream, frames.room()).await.map_err(|e| e.to_string())?;
-        if !more || frames.flooded() {
+        let more = pump::read_more(&stream, frames.read_buffer()).await.map_err(|e| e.to_string())?;
+        if !more || frames.line_too_long() {
             return Err("it is no keeper".into());
         }
     }
 }
 
-async fn hear(resume: &Weak<Resume>, server: ServerId, stream: &TcpStream, mut frames: Frames) -> String {
+async fn hear(
+    resume: &Weak<Resume>,
+    server: ServerId,
+    stream: &TcpStream,
+    mut frames: FrameReader,
+) -> String {
     loop {
         loop {
             match frames.next_frame::<Reply>() {
@@ -74,7 +83,7 @@
                 Err(error) => return error.to_string(),
             }
         }
-        match pump::read_more(stream, frames.room()).await {
+        match pump::read_more(stream, frames.read_buffer()).await {
             Ok(true) => {}
             Ok(false) => return "closed".into(),
             Err(error) => return error.to_string(),
--- a/node/src/host/server.rs
+++ b/node/src/host/server.rs
@@ -160,7 +160,7 @@
         wait_ms: Millis,
         silent: impl FnOnce(),
     ) -> Result<TcpStream, ConnectError> {
-        let usual = self.tuning.now().decisions.limits.connect_timeout_ms;
+        let usual = self.tuning.now().balancing.limits.connect_timeout_ms;
         let connected = connect(&self.clock, address, usual.min(wait_ms)).await;
         // One that was not given the usual time tells nothing.
         if matches!(connected, Err(ConnectError::TimedOut)) && wait_ms >= usual {
--- a/node/src/operations/config.rs
+++ b/node/src/operations/config.rs
@@ -5,7 +5,7 @@
 //! then, so what the file says of discovery comes first.
 
 use crate::protocol::discovery::List;
-use marllink_settings::Parsed;
+use marllink_settings::ParsedSettings;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
@@ -35,7 +35,7 @@
     /// The list of form hosts as last known; may be old.
     pub known: List,
     /// The settings of the deployment.
-    pub settings: Parsed,
+    pub settings: ParsedSettings,
     /// The file as it was read.
     pub text: String,
 }
@@ -80,7 +80,7 @@
 ) -> Result<Config, String> {
     let config = load_with(variable, read, true)?;
     let value = |text: &str| serde_json::from_str::<serde_json::Value>(text).map_err(|e| e.to_string());
-    marllink_settings::complete(&value(in_force)?, &value(&config.text)?)?;
+    marllink_settings::check_keys_present(&value(in_force)?, &value(&config.text)?)?;
     Ok(config)
 }
 
--- a/node/src/operations/reload.rs
+++ b/node/src/operations/reload.rs
@@ -49,9 +49,9 @@
                     tracing::warn!("SIGHUP: held as it was until the next start: {}", fixed.join(", "));
                 }
                 // All at once: nothing can happen between these.
-                tuning.change(config.settings.follow(&tuning.now()));
+                tuning.change(config.settings.as_reload_of(&tuning.now()));
                 handover.exchange.retuned();
-                handover.core.feed(Event::Settings(tuning.now().decisions.clone()));
+                handover.core.feed(Event::Settings(tuning.now().balancing.clone()));
                 handover.discovery.go_over_to(config.discovery);
                 handover.config.replace(config.text);
                 retune(handover, features);
--- a/node/src/operations/shutdown.rs
+++ b/node/src/operations/shutdown.rs
@@ -46,7 +46,7 @@
         let (clock, handover) = (self.clock, self.handover);
         handover.leaving.set(true);
         let told_at = clock.now();
-        let ending = Ending::within(self.tuning.now().longest_deadline_ms);
+        let ending = Ending::within(self.tuning.now().max_deadline_ms);
         let mut serving = handover.serving.subscribe();
         tracing::info!(
             requests = handover.exchange.len(),
--- a/node/src/operations/state.rs
+++ b/node/src/operations/state.rs
@@ -68,8 +68,12 @@
             return None;
         }
     };
-    if found.damaged > 0 {
-        tracing::warn!("the store {}: {} bytes are damaged; the rest holds", folder.display(), found.damaged);
+    if found.damaged_bytes > 0 {
+        tracing::warn!(
+            "the store {}: {} bytes are damaged; the rest holds",
+            folder.display(),
+            found.damaged_bytes
+        );
     }
     let record = found.latest.get(LIST)?;
     Some((serde_json::from_value(record.body.clone()).ok()?, record.at))
@@ -114,7 +118,8 @@
             Err(error) => tracing::warn!("the store {shown}: {error}; going on without"),
         })?;
         let trusted_ms = f64::from(store.trusted_s) * 1_000.0;
-        let limits = Limits { trusted_ms, at_once: usize::from(store.asked_at_once), ..Limits::default() };
+        let limits =
+            Limits { trusted_ms, at_once: usize::from(store.concurrent_probes), ..Limits::default() };
         let recovery = RefCell::new(Recovery::new(limits, seed, parts.clock.now()));
         let (kept_at, changed) = (Cell::new(f64::MIN), Notify::new());
         let this = Rc::new_cyclic(|me| Self {
@@ -189,7 +194,7 @@
         self.kept_at.set(self.parts.clock.now());
         let kept = Kept { discovery: self.parts.discovery.address(), list: list.clone() };
         match serde_json::to_value(kept) {
-            Ok(body) => self.writer.keep(Record { name: LIST.into(), at: self.parts.clock.unix(), body }),
+            Ok(body) => self.writer.put(Record { name: LIST.into(), at: self.parts.clock.unix(), body }),
             Err(error) => tracing::warn!("the list can't be kept: {error}"),
         }
     }
@@ -238,7 +243,7 @@
         let Some(_descriptor) = self.parts.descriptors.take(Purpose::Served) else { return false };
         let Some(address) = self.parts.directory.address(host) else { return false };
         let Ok(stream) = connect(&self.parts.clock, address, ANSWER_MS).await else { return false };
-        if !self.parts.tuning.now().decisions.limits.probe {
+        if !self.parts.tuning.now().balancing.limits.probe {
             return true;
         }
         let mut answer = Vec::new();
--- a/node/src/serve.rs
+++ b/node/src/serve.rs
@@ -132,7 +132,7 @@
     operators: Option<&Path>,
     Signals { term, hangup }: Signals,
 ) -> std::io::Result<()> {
-    let core = core::Core::new(clock.clone(), config.settings.decisions.clone(), config.seed);
+    let core = core::Core::new(clock.clone(), config.settings.balancing.clone(), config.seed);
     let directory = Rc::new(directory::Directory::default());
     let descriptors = descriptors::Descriptors::new(config.sockets);
     let tuning = tuning::Tuning::new(config.settings.clone());
@@ -144,7 +144,7 @@
         directory.clone(),
         config.discovery,
         config.settings.names.zones.clone(),
-        config.settings.decisions.discovery == marllink::Discovery::Push,
+        config.settings.balancing.discovery == marllink::Discovery::Push,
     );
     let resume = match (&features.operators.sessions, features.keys) {
         (Some(sessions), Some(keys)) => {
--- a/node/tests/state_command.rs
+++ b/node/tests/state_command.rs
@@ -2,7 +2,7 @@
 //! folder has its lock until it runs its own program.
 #![allow(missing_docs, reason = "tests are named for what they show")]
 
-use marllink_store::{FileDisk, Folder, LOG, Record};
+use marllink_store::{FileDisk, LOG_FILE, Record, Store};
 use std::path::Path;
 use std::process::Command;
 
@@ -18,11 +18,11 @@
 fn a_folder_is_shown_checked_and_tidied_up_unless_a_balancer_writes_it() {
     let place = tempfile::tempdir().expect("a folder");
     let folder = place.path();
-    let mut store = FileDisk::take(folder).and_then(Folder::open).expect("it is free");
+    let mut store = FileDisk::lock(folder).and_then(Store::open).expect("it is free");
     let body = serde_json::json!({"list": {"rev": 41, "targets": [{}, {}]}});
     for at in [1.0, 2.0] {
         let record = Record { name: "list".into(), at, body: body.clone() };
-        assert!(store.keep(record).expect("it is kept"));
+        assert!(store.put(record).expect("it is kept"));
     }
     let show = state("show", folder).expect("it is sound");
     assert!(show.contains("2 records") && show.contains("version 41, 2 form hosts"), "{show}");
@@ -30,7 +30,7 @@
     assert!(taken.contains("another process writes it"), "{taken}");
     drop(store);
     // A write that was cut off.
-    let log = folder.join(LOG);
+    let log = folder.join(LOG_FILE);
     let mut bytes = std::fs::read(&log).expect("it is there");
     bytes.extend([0xf5, 0x1e, 0xff, 0x01, 9]);
     std::fs::write(&log, bytes).expect("it can be written");
--- a/node/tests/store.rs
+++ b/node/tests/store.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use marllink_store::{FileDisk, Folder, Record};
+use marllink_store::{FileDisk, Record, Store};
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
 use support::*;
@@ -14,8 +14,8 @@
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).expect("it is past 1970").as_secs_f64() * 1_000.0;
     let list: serde_json::Value = serde_json::from_str(list).expect("a list");
     let body = serde_json::json!({"discovery": discovery, "list": list});
-    let mut store = Folder::open(FileDisk::take(&tmp.join("state")).expect("free")).expect("empty");
-    store.keep(Record { name: "list".into(), at: unix - age_ms, body }).expect("kept");
+    let mut store = Store::open(FileDisk::lock(&tmp.join("state")).expect("free")).expect("empty");
+    store.put(Record { name: "list".into(), at: unix - age_ms, body }).expect("kept");
     std::fs::write(tmp.join("operators.json"), r#"{"store":{"folder":"state"}}"#).expect("written");
 }
 
--- a/sessions/src/machine.rs
+++ b/sessions/src/machine.rs
@@ -284,7 +284,7 @@
         for member in members {
             if self.servers.get(&member.server).is_some_and(|s| s.is(member.incarnation)) {
                 let server = ServerId(member.server);
-                out.push(Command::Call { server, call: Call::of(body.clone()) });
+                out.push(Command::Call { server, call: Call::new(body.clone()) });
             }
         }
     }
--- a/sessions/src/machine/claiming.rs
+++ b/sessions/src/machine/claiming.rs
@@ -163,7 +163,7 @@
             match self.servers.get(&member.server) {
                 Some(server) if server.is(member.incarnation) => {
                     let server = ServerId(member.server);
-                    out.push(Command::Call { server, call: Call::of(call::Body::Claim(call)) });
+                    out.push(Command::Call { server, call: Call::new(call::Body::Claim(call)) });
                 }
                 // It has begun anew, and forgotten.
                 Some(server) if server.linked() => {
@@ -184,7 +184,7 @@
 
     fn ask_holder(&mut self, id: SessionId, holder: u64, ballot: Ballot, out: &mut Vec<Command>) {
         if self.servers.get(&holder).is_some_and(super::Server::linked) {
-            let call = Call::of(call::Body::LetGo(LetGo { session: id, ballot }));
+            let call = Call::new(call::Body::LetGo(LetGo { session: id, ballot }));
             out.push(Command::Call { server: ServerId(holder), call });
         } else {
             self.want(holder, out);
--- a/sessions/src/machine/keeping.rs
+++ b/sessions/src/machine/keeping.rs
@@ -224,7 +224,7 @@
                     }
                     server.renew_at = now + lease / RENEWALS;
                     let renew = Renew { k: server.next_renewal, ms: lease as u32 };
-                    let call = Call::of(call::Body::Renew(renew));
+                    let call = Call::new(call::Body::Renew(renew));
                     out.push(Command::Call { server: ServerId(number), call });
                 }
                 let at =
@@ -333,7 +333,7 @@
             vote.sent = Some(generation);
             vote.written = None;
         }
-        out.push(Command::Call { server: ServerId(member.server), call: Call::of(call::Body::Hold(hold)) });
+        out.push(Command::Call { server: ServerId(member.server), call: Call::new(call::Body::Hold(hold)) });
     }
 
     fn on_stored(&mut self, server: ServerId, stored: Stored, out: &mut Vec<Command>) {
--- a/sessions/tests/world/mod.rs
+++ b/sessions/tests/world/mod.rs
@@ -662,7 +662,7 @@
             What::Called(b, owner, call) => {
                 if let Some(call::Body::LetGo(ask)) = &call.body {
                     self.hosts[h].holder.let_go(now, ask.session, ask.ballot, &mut says);
-                    let reply = Reply::of(reply::Body::LetGo(*ask));
+                    let reply = Reply::new(reply::Body::LetGo(*ask));
                     self.send(here, Place::Balancer(b), 0, What::Heard(h, reply));
                 } else if let Some(reply) = self.hosts[h].keeper.handle(now, owner, &call) {
                     self.send(here, Place::Balancer(b), 0, What::Heard(h, reply));
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -5,7 +5,7 @@
 
 mod parts;
 
-pub use parts::{Part, parts};
+pub use parts::{Feature, features};
 
 use marllink::{
     Class, Discovery, Effect, KeyScope, Limits, NodeId, Prices, ReportField, Rules, Settings, Tenant, ZoneId,
@@ -119,24 +119,24 @@
 
 /// What the settings say.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Parsed {
+pub struct ParsedSettings {
     /// What the decisions are made by.
-    pub decisions: Settings,
+    pub balancing: Settings,
     /// The names behind the numbers that the decisions use.
     pub names: Names,
     /// Form hosts tell how long messages take there.
-    pub tells_delay: bool,
+    pub servers_report_delay: bool,
     /// The longest that a client of any class waits, in ms; 0 where there are no classes.
-    pub longest_deadline_ms: f64,
+    pub max_deadline_ms: f64,
 }
 
 /// Names as peers on sockets write them, each list in the order of its ids.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
     /// Of the request classes.
-    pub classes: Table,
+    pub classes: NameTable,
     /// Of the tenants; may be empty.
-    pub tenants: Table,
+    pub tenants: NameTable,
     /// Of the zones.
     pub zones: Vec<String>,
     /// Of the values in a load report; empty where servers report nothing.
@@ -145,23 +145,23 @@
 
 /// Names by number. A number is never given to another name while the program runs.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Table {
+pub struct NameTable {
     names: Vec<String>,
     /// Those that are no longer in the settings, and that nothing new may bear.
     withdrawn: Vec<bool>,
 }
 
-impl Table {
+impl NameTable {
     /// The number of a name that is in force.
     #[must_use]
-    pub fn number(&self, name: &str) -> Option<u16> {
+    pub fn id(&self, name: &str) -> Option<u16> {
         let found = self.names.iter().zip(&self.withdrawn).position(|(n, withdrawn)| n == name && !withdrawn);
         found.map(|at| at as u16)
     }
 
     /// The number of a name, also of one that is withdrawn.
     #[must_use]
-    pub fn number_once(&self, name: &str) -> Option<u16> {
+    pub fn id_including_withdrawn(&self, name: &str) -> Option<u16> {
         self.names.iter().position(|n| n == name).map(|at| at as u16)
     }
 
@@ -190,32 +190,32 @@
     }
 }
 
-impl FromIterator<String> for Table {
+impl FromIterator<String> for NameTable {
     fn from_iter<I: IntoIterator<Item = String>>(names: I) -> Self {
         let names: Vec<_> = names.into_iter().collect();
         Self { withdrawn: vec![false; names.len()], names }
     }
 }
 
-impl Parsed {
+impl ParsedSettings {
     /// These settings in place of those before, while running: classes and tenants keep their
     /// numbers by name, and what a node is stays as it was at its start.
     #[must_use]
-    pub fn follow(self, before: &Self) -> Self {
-        let (names, old) = (&before.names, &before.decisions);
+    pub fn as_reload_of(self, before: &Self) -> Self {
+        let (names, old) = (&before.names, &before.balancing);
         let (classes, class_values) =
-            self.names.classes.follow(self.decisions.classes, &names.classes, &old.classes);
+            self.names.classes.follow(self.balancing.classes, &names.classes, &old.classes);
         let (tenants, tenant_values) =
-            self.names.tenants.follow(self.decisions.tenants, &names.tenants, &old.tenants);
+            self.names.tenants.follow(self.balancing.tenants, &names.tenants, &old.tenants);
         Self {
-            decisions: Settings {
+            balancing: Settings {
                 classes: class_values,
                 tenants: tenant_values,
                 node: old.node,
                 zone: old.zone,
                 zones: old.zones,
                 discovery: old.discovery,
-                ..self.decisions
+                ..self.balancing
             },
             names: Names { classes, tenants, zones: names.zones.clone(), ..self.names },
             ..self
@@ -228,12 +228,12 @@
 ///
 /// # Errors
 /// Names the first key that is missing.
-pub fn complete(old: &Value, new: &Value) -> Result<(), String> {
+pub fn check_keys_present(old: &Value, new: &Value) -> Result<(), String> {
     match (old, new) {
         (Value::Object(old), Value::Object(new)) => {
             for (key, value) in old {
                 let now = new.get(key).ok_or_else(|| format!("no key \"{key}\""))?;
-                complete(value, now).map_err(|e| format!("{key}: {e}"))?;
+                check_keys_present(value, now).map_err(|e| format!("{key}: {e}"))?;
             }
             Ok(())
         }
@@ -257,7 +257,7 @@
 ///
 /// # Errors
 /// Fails if the text is no JSON, or if a figure that the decisions need is missing or not sound.
-pub fn parse(text: &[u8]) -> Result<Parsed, String> {
+pub fn parse(text: &[u8]) -> Result<ParsedSettings, String> {
     from_value(serde_json::from_slice(text).map_err(|e| e.to_string())?)
 }
 
@@ -265,7 +265,7 @@
 ///
 /// # Errors
 /// Fails if a figure that the decisions need is missing or not sound.
-pub fn from_value(value: Value) -> Result<Parsed, String> {
+pub fn from_value(value: Value) -> Result<ParsedSettings, String> {
     let boot: Boot = serde_json::from_value(value).map_err(|e| e.to_string())?;
     sound(&boot).map(|()| read(boot))
 }
@@ -286,9 +286,9 @@
     positive("maxAttempts", f64::from(boot.bounds.max_attempts))
 }
 
-fn read(boot: Boot) -> Parsed {
+fn read(boot: Boot) -> ParsedSettings {
     let reports = boot.load_report.how != "off";
-    let tells_delay = boot.specifics.tells_delay;
+    let servers_report_delay = boot.specifics.tells_delay;
     let aims = &boot.specifics.message_aim_ms;
     let classes = boot.classes.iter().enumerate().map(|(i, c)| Class {
         aim_ms: c.goal_time_ms,
@@ -303,11 +303,11 @@
         "fail_rate" => ReportField::ErrorRate,
         _ => ReportField::Other,
     });
-    let longest_deadline_ms = boot.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
+    let max_deadline_ms = boot.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
     let quotas = &boot.specifics.tenant_quota_connections;
     let quota = |at| quotas.get(at).copied().filter(|quota: &f64| quota.is_finite() && *quota > 0.0);
     let tenant = |at| Tenant { quota_connections: quota(at).unwrap_or(0.0) };
-    let decisions = Settings {
+    let balancing = Settings {
         node: NodeId(boot.index),
         nodes: boot.balancers,
         zone: ZoneId(boot.zone),
@@ -347,7 +347,7 @@
         zones: boot.azs,
         report_fields: if reports { boot.load_report.fields } else { Vec::new() },
     };
-    Parsed { decisions, names, tells_delay, longest_deadline_ms }
+    ParsedSettings { balancing, names, servers_report_delay, max_deadline_ms }
 }
 
 fn effect(class: &BootClass) -> Effect {
@@ -391,24 +391,25 @@
         next["classes"][0]["semantics"] = "once".into();
         next["classes"][1]["importance"] = 7.0.into();
         next["bounds"]["maxAttempts"] = 2.into();
-        let next = from_value(next).expect("it is sound").follow(&first);
-        let number = |parsed: &Parsed| ["view", "save", "sign"].map(|name| parsed.names.classes.number(name));
+        let next = from_value(next).expect("it is sound").as_reload_of(&first);
+        let number =
+            |parsed: &ParsedSettings| ["view", "save", "sign"].map(|name| parsed.names.classes.id(name));
         assert_eq!(number(&first), [Some(0), Some(1), None]);
         assert_eq!(number(&next), [None, Some(1), Some(2)]);
-        let worths: Vec<_> = next.decisions.classes.iter().map(|c| c.worth).collect();
-        assert_eq!((worths, next.decisions.limits.max_attempts), (vec![3.0, 7.0, 3.0], 2));
-        assert_eq!(next.decisions.classes[2].effect, Effect::Unsafe);
+        let worths: Vec<_> = next.balancing.classes.iter().map(|c| c.worth).collect();
+        assert_eq!((worths, next.balancing.limits.max_attempts), (vec![3.0, 7.0, 3.0], 2));
+        assert_eq!(next.balancing.classes[2].effect, Effect::Unsafe);
         // What has vanished may come back, under its old number.
-        let back = from_value(settings()).expect("it is sound").follow(&next);
+        let back = from_value(settings()).expect("it is sound").as_reload_of(&next);
         assert_eq!(number(&back), [Some(0), Some(1), None]);
     }
 
     #[test]
     fn each_part_is_on_by_its_own_key_and_says_why_it_is_off() {
         let on = |value: &Value| {
-            let parts = parts(&from_value(value.clone()).expect("it is sound"));
-            assert!(parts.iter().all(|part| !part.why.is_empty()), "{parts:?}");
-            parts.into_iter().filter(|part| part.on).map(|part| part.name).collect::<Vec<_>>()
+            let parts = features(&from_value(value.clone()).expect("it is sound"));
+            assert!(parts.iter().all(|part| !part.reason.is_empty()), "{parts:?}");
+            parts.into_iter().filter(|part| part.enabled).map(|part| part.name).collect::<Vec<_>>()
         };
         let plain = settings();
         let usual = ["list", "bound by the mean", "cold form hosts", "repeated attempts"];
@@ -472,9 +473,9 @@
             let mut short = whole.clone();
             let object = short.pointer_mut(&at).and_then(Value::as_object_mut).expect("an object");
             object.remove(&key);
-            assert!(complete(&whole, &short).is_err(), "{at}/{key}");
+            assert!(check_keys_present(&whole, &short).is_err(), "{at}/{key}");
         }
-        assert_eq!(complete(&whole, &whole), Ok(()));
+        assert_eq!(check_keys_present(&whole, &whole), Ok(()));
         let wrong = [
             ("/classes/1/deadlineMs", json!(0)),
             ("/classes/1/deadlineMs", json!(-3.5)),
--- a/settings/src/parts.rs
+++ b/settings/src/parts.rs
@@ -1,28 +1,30 @@
 //! Which parts of the decisions are in force under some settings, and which are off and why.
 
-use crate::Parsed;
+use crate::ParsedSettings;
 use marllink::{Discovery, Effect, Settings};
 use serde::Serialize;
 
 /// A part of the decisions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Part {
+pub struct Feature {
     /// Its name, the same from one version to the next.
     pub name: &'static str,
     /// It is in force.
-    pub on: bool,
+    #[serde(rename = "on")]
+    pub enabled: bool,
     /// With what figures, or why not; in words.
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
 }
 
-fn part(name: &'static str, on: bool, yes: impl Into<String>, no: impl Into<String>) -> Part {
-    Part { name, on, why: if on { yes.into() } else { no.into() } }
+fn part(name: &'static str, on: bool, yes: impl Into<String>, no: impl Into<String>) -> Feature {
+    Feature { name, enabled: on, reason: if on { yes.into() } else { no.into() } }
 }
 
 /// The parts, in the order in which a request meets them.
 #[must_use]
-pub fn parts(parsed: &Parsed) -> Vec<Part> {
-    let settings = &parsed.decisions;
+pub fn features(parsed: &ParsedSettings) -> Vec<Feature> {
+    let settings = &parsed.balancing;
     let mut all = vec![list(settings)];
     all.extend(knowing(parsed));
     all.extend(placing(settings));
@@ -31,7 +33,7 @@
     all
 }
 
-fn list(settings: &Settings) -> Part {
+fn list(settings: &Settings) -> Feature {
     let why = match settings.discovery {
         Discovery::Push => "pushed: the watch is opened unasked and kept open".into(),
         Discovery::Ask => format!(
@@ -39,12 +41,12 @@
             settings.rules.ask_within_ms / 4.0
         ),
     };
-    Part { name: "list", on: true, why }
+    Feature { name: "list", enabled: true, reason: why }
 }
 
 /// What is known of form hosts.
-fn knowing(parsed: &Parsed) -> Vec<Part> {
-    let settings = &parsed.decisions;
+fn knowing(parsed: &ParsedSettings) -> Vec<Feature> {
+    let settings = &parsed.balancing;
     let reports = settings.reports_load();
     let no_reports = match settings.limits.probe {
         false => "probes are not allowed",
@@ -52,7 +54,7 @@
     };
     let aim = settings.slow_aim();
     let no_aim = "no class has an aim for messages (messageAimMs)";
-    let source = match parsed.tells_delay {
+    let source = match parsed.servers_report_delay {
         true => "told by form hosts, or measured by lines and their answers",
         false => "measured by lines and their answers",
     };
@@ -75,7 +77,7 @@
 }
 
 /// Where a connection goes.
-fn placing(settings: &Settings) -> Vec<Part> {
+fn placing(settings: &Settings) -> Vec<Feature> {
     let (zones, price) = (settings.zones, settings.prices.cross_zone);
     let rules = &settings.rules;
     vec![
@@ -113,8 +115,8 @@
 }
 
 /// Who is turned away.
-fn admitting(parsed: &Parsed) -> Vec<Part> {
-    let settings = &parsed.decisions;
+fn admitting(parsed: &ParsedSettings) -> Vec<Feature> {
+    let settings = &parsed.balancing;
     let shares = settings.tenants.iter().filter(|t| t.quota_connections > 0.0).count();
     let told: f64 = settings.tenants.iter().map(|t| t.quota_connections).sum();
     let limits = &settings.limits;
@@ -139,7 +141,7 @@
 }
 
 /// What follows an attempt that failed.
-fn again(settings: &Settings) -> Vec<Part> {
+fn again(settings: &Settings) -> Vec<Feature> {
     let attempts = settings.limits.max_attempts;
     let once = settings.classes.iter().filter(|c| c.effect == Effect::Unsafe).count();
     let classes = settings.classes.len();
--- a/store/src/frame.rs
+++ b/store/src/frame.rs
@@ -1,6 +1,6 @@
 //! The log's format.
 //!
-//! It begins with [`HEAD`] and the version. A record follows as a mark, its length, the checksum (CRC-32, IEEE) of
+//! It begins with [`MAGIC`] and the version. A record follows as a mark, its length, the checksum (CRC-32, IEEE) of
 //! length and body, and the body, a JSON object. After a record that is damaged, reading goes on at the next mark behind
 //! which a record is sound.
 
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 /// What a log begins with; the version follows, as four bytes, lowest first.
-pub const HEAD: &[u8; 8] = b"marllink";
+pub const MAGIC: &[u8; 8] = b"marllink";
 /// The version that is written, and the highest that is read.
 pub const VERSION: u32 = 1;
 /// What each record begins with: no byte of it stands in JSON text.
@@ -17,7 +17,7 @@
 /// Mark, length and checksum.
 const PREFIX: usize = 12;
 /// A record's body is at most so many bytes: four times the list of a thousand form hosts.
-pub const LONGEST: usize = 1024 * 1024;
+pub const MAX_BODY_BYTES: usize = 1024 * 1024;
 
 /// Something that is kept: the latest under its name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -32,31 +32,31 @@
 
 /// What a log holds.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Found {
+pub struct LogContents {
     /// The latest under each name.
     pub latest: BTreeMap<String, Record>,
     /// Records that were sound, outdated ones among them.
-    pub records: usize,
+    pub record_count: usize,
     /// Bytes that belong to no sound record: damaged, or cut off.
-    pub damaged: usize,
+    pub damaged_bytes: usize,
     /// Bytes in all.
-    pub bytes: usize,
+    pub total_bytes: usize,
 }
 
 /// The beginning of a log.
 #[must_use]
-pub fn head() -> Vec<u8> {
-    [HEAD.as_slice(), &VERSION.to_le_bytes()].concat()
+pub fn header() -> Vec<u8> {
+    [MAGIC.as_slice(), &VERSION.to_le_bytes()].concat()
 }
 
 /// A record as it is written.
 ///
 /// # Errors
-/// Fails if it is longer than [`LONGEST`].
+/// Fails if it is longer than [`MAX_BODY_BYTES`].
 pub fn encode(record: &Record) -> Result<Vec<u8>, Error> {
     let body = serde_json::to_vec(record).map_err(std::io::Error::other)?;
-    if body.len() > LONGEST {
-        return Err(Error::TooLong(body.len()));
+    if body.len() > MAX_BODY_BYTES {
+        return Err(Error::RecordTooLong(body.len()));
     }
     let length = (body.len() as u32).to_le_bytes();
     Ok([&MARK[..], &length, &sum(&length, &body).to_le_bytes(), &body].concat())
@@ -73,31 +73,31 @@
 ///
 /// # Errors
 /// Fails if a newer program has written it, or if it is no log at all.
-pub fn decode(bytes: &[u8]) -> Result<Found, Error> {
-    let mut found = Found { bytes: bytes.len(), ..Found::default() };
-    let whole = head();
+pub fn decode(bytes: &[u8]) -> Result<LogContents, Error> {
+    let mut found = LogContents { total_bytes: bytes.len(), ..LogContents::default() };
+    let whole = header();
     if whole.starts_with(bytes) && bytes.len() < whole.len() {
         // Cut off while it was begun.
-        found.damaged = bytes.len();
+        found.damaged_bytes = bytes.len();
         return Ok(found);
     }
-    let sound = bytes.starts_with(HEAD);
+    let sound = bytes.starts_with(MAGIC);
     if sound {
-        let version = u32_at(bytes, HEAD.len());
+        let version = u32_at(bytes, MAGIC.len());
         if version > VERSION {
             // A damaged version must not turn a sound store away: a newer program writes its marks as well,
             // but then no record of this version follows.
             if record_at(bytes, whole.len()).is_none() {
-                return Err(Error::Newer { found: version, reads: VERSION });
+                return Err(Error::NewerVersion { found: version, supported: VERSION });
             }
-            found.damaged += 4;
+            found.damaged_bytes += 4;
         }
     }
     let mut at = if sound { whole.len() } else { 0 };
     let mut lost = 0;
     while at < bytes.len() {
         if let Some((record, next)) = record_at(bytes, at) {
-            found.records += 1;
+            found.record_count += 1;
             if found.latest.get(&record.name).is_none_or(|held| held.at <= record.at) {
                 found.latest.insert(record.name.clone(), record);
             }
@@ -109,10 +109,10 @@
             at = next;
         }
     }
-    if !sound && found.records == 0 {
-        return Err(Error::NoStore);
+    if !sound && found.record_count == 0 {
+        return Err(Error::NotAStore);
     }
-    found.damaged += lost;
+    found.damaged_bytes += lost;
     Ok(found)
 }
 
@@ -128,7 +128,7 @@
     }
     let length = u32_at(prefix, 4) as usize;
     let end = at + PREFIX + length;
-    let body = (length <= LONGEST).then(|| bytes.get(at + PREFIX..end)).flatten()?;
+    let body = (length <= MAX_BODY_BYTES).then(|| bytes.get(at + PREFIX..end)).flatten()?;
     (sum(&prefix[4..8], body) == u32_at(prefix, 8)).then_some(())?;
     Some((serde_json::from_slice(body).ok()?, end))
 }
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -4,50 +4,50 @@
 //! damaged costs that part alone, and a write that a crash cut off costs that write alone. Now and then the log
 //! is written anew without what is outdated, beside the old one, and takes its place in one step.
 //!
-//! [`frame`] is the format, pure. [`Folder`] reads and writes one by way of a [`Disk`]. A [`Writer`] does that on a
+//! [`frame`] is the format, pure. [`Store`] reads and writes one by way of a [`Disk`]. A [`Writer`] does that on a
 //! thread of its own: a disk that is full, read-only, hangs or vanishes never stalls whoever has something to keep.
 //!
 //! In this order: [`read`] at the start, which needs no lock and changes nothing; then [`Writer::open`], and
-//! [`Writer::keep`] whenever something has changed.
+//! [`Writer::put`] whenever something has changed.
 
-mod folder;
 pub mod frame;
+mod store;
 mod writer;
 
-pub use folder::{Disk, FileDisk, Folder, read};
-pub use frame::{Found, Record};
+pub use frame::{LogContents, Record};
+pub use store::{Disk, FileDisk, Store, read};
 pub use writer::Writer;
 
 /// The log's name in its folder.
-pub const LOG: &str = "state.log";
+pub const LOG_FILE: &str = "state.log";
 /// Its draft while it is written anew.
-pub const DRAFT: &str = "state.new";
+pub const DRAFT_FILE: &str = "state.new";
 /// Who writes holds a lock on this file.
-pub const LOCK: &str = "state.lock";
+pub const LOCK_FILE: &str = "state.lock";
 
 /// What keeps a store from being used.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// A newer program has written it.
     #[error(
-        "written by a newer program (version {found}, this one reads up to {reads}); start that one, or name another folder"
+        "written by a newer program (version {found}, this one reads up to {supported}); start that one, or name another folder"
     )]
-    Newer {
+    NewerVersion {
         /// The version in the file.
         found: u32,
         /// The highest that this program reads.
-        reads: u32,
+        supported: u32,
     },
     /// It does not begin as a store does.
-    #[error("{LOG} is no store; name another folder, or remove the file")]
-    NoStore,
+    #[error("{LOG_FILE} is no store; name another folder, or remove the file")]
+    NotAStore,
     /// Another process writes it.
     #[error("another process writes it; each balancer needs a folder of its own")]
-    Taken,
+    Locked,
     /// A record is longer than any may be.
-    #[error("a record of {0} bytes, {max} at most", max = frame::LONGEST)]
-    TooLong(usize),
+    #[error("a record of {0} bytes, {max} at most", max = frame::MAX_BODY_BYTES)]
+    RecordTooLong(usize),
     /// The disk.
     #[error("{0}")]
-    Disk(#[from] std::io::Error),
+    Io(#[from] std::io::Error),
 }
--- a/store/src/folder.rs
+++ b/store/src/store.rs
@@ -1,7 +1,7 @@
 //! One folder with one log.
 
-use crate::frame::{self, Found, Record};
-use crate::{DRAFT, Error, LOCK, LOG};
+use crate::frame::{self, LogContents, Record};
+use crate::{DRAFT_FILE, Error, LOCK_FILE, LOG_FILE};
 use rustix::fs::{FlockOperation, flock};
 use std::collections::BTreeMap;
 use std::fs::{File, OpenOptions};
@@ -50,12 +50,13 @@
     ///
     /// # Errors
     /// Fails if another process has it, or as the disk has it.
-    pub fn take(folder: &Path) -> Result<Self, Error> {
+    pub fn lock(folder: &Path) -> Result<Self, Error> {
         std::fs::create_dir_all(folder)?;
-        let lock = OpenOptions::new().create(true).truncate(false).write(true).open(folder.join(LOCK))?;
+        let lock =
+            OpenOptions::new().create(true).truncate(false).write(true).open(folder.join(LOCK_FILE))?;
         match flock(&lock, FlockOperation::NonBlockingLockExclusive) {
             Ok(()) => Ok(Self { folder: folder.into(), _lock: lock }),
-            Err(rustix::io::Errno::WOULDBLOCK) => Err(Error::Taken),
+            Err(rustix::io::Errno::WOULDBLOCK) => Err(Error::Locked),
             Err(errno) => Err(io::Error::from(errno).into()),
         }
     }
@@ -96,13 +97,13 @@
 ///
 /// # Errors
 /// Fails if it can't be read, a newer program has written it, or it is no store.
-pub fn read(folder: &Path) -> Result<Found, Error> {
-    frame::decode(&bytes_of(&folder.join(LOG))?)
+pub fn read(folder: &Path) -> Result<LogContents, Error> {
+    frame::decode(&bytes_of(&folder.join(LOG_FILE))?)
 }
 
 /// A store that is open for writing: one owner at a time.
 #[derive(Debug)]
-pub struct Folder<D> {
+pub struct Store<D> {
     disk: D,
     latest: BTreeMap<String, Record>,
     /// Bytes of the log, and of the records in force in it.
@@ -111,15 +112,15 @@
     torn: bool,
 }
 
-impl<D: Disk> Folder<D> {
+impl<D: Disk> Store<D> {
     /// Opens it with all that is sound in it.
     ///
     /// # Errors
     /// Fails if it can't be read, a newer program has written it, or it is no store.
     pub fn open(mut disk: D) -> Result<Self, Error> {
-        let found = frame::decode(&disk.read(LOG)?)?;
-        let torn = found.damaged > 0;
-        Ok(Self { disk, latest: found.latest, size: found.bytes, torn })
+        let found = frame::decode(&disk.read(LOG_FILE)?)?;
+        let torn = found.damaged_bytes > 0;
+        Ok(Self { disk, latest: found.latest, size: found.total_bytes, torn })
     }
 
     /// What is in force.
@@ -133,7 +134,7 @@
     ///
     /// # Errors
     /// Fails as the disk has it, or if it is too long; what was in force before still is.
-    pub fn keep(&mut self, record: Record) -> Result<bool, Error> {
+    pub fn put(&mut self, record: Record) -> Result<bool, Error> {
         if self.latest.get(&record.name).is_some_and(|held| held.at > record.at) {
             return Ok(false);
         }
@@ -161,10 +162,10 @@
 
     fn append(&mut self, mut bytes: Vec<u8>) -> Result<(), Error> {
         if self.size == 0 {
-            bytes = [frame::head(), bytes].concat();
+            bytes = [frame::header(), bytes].concat();
         }
         self.torn = true;
-        self.disk.append(LOG, &bytes)?;
+        self.disk.append(LOG_FILE, &bytes)?;
         self.torn = false;
         self.size += bytes.len();
         Ok(())
@@ -175,12 +176,12 @@
     /// # Errors
     /// Fails as the disk has it; the log is then as it was.
     pub fn compact(&mut self) -> Result<(), Error> {
-        let mut bytes = frame::head();
+        let mut bytes = frame::header();
         for record in self.latest.values() {
             bytes.extend(frame::encode(record)?);
         }
-        self.disk.write(DRAFT, &bytes)?;
-        self.disk.replace(LOG, DRAFT)?;
+        self.disk.write(DRAFT_FILE, &bytes)?;
+        self.disk.replace(LOG_FILE, DRAFT_FILE)?;
         (self.size, self.torn) = (bytes.len(), false);
         Ok(())
     }
--- a/store/src/writer.rs
+++ b/store/src/writer.rs
@@ -1,7 +1,7 @@
 //! Writing on a thread of its own.
 
 use crate::frame::Record;
-use crate::{Error, FileDisk, Folder};
+use crate::{Error, FileDisk, Store};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
@@ -54,7 +54,7 @@
     }
 
     /// Has this kept. Returns at once; a later record of the same name takes the place of one that still waits.
-    pub fn keep(&self, record: Record) {
+    pub fn put(&self, record: Record) {
         let mut waiting = self.shared.waiting();
         if waiting.records.get(&record.name).is_none_or(|held| held.at <= record.at) {
             waiting.records.insert(record.name.clone(), record);
@@ -71,7 +71,7 @@
 }
 
 fn write(shared: &Shared, folder: &std::path::Path, mut told: impl FnMut(Result<(), &Error>)) {
-    let (mut open, mut faulty) = (None::<Folder<FileDisk>>, false);
+    let (mut open, mut faulty) = (None::<Store<FileDisk>>, false);
     loop {
         let (batch, ends) = {
             let mut waiting = shared.waiting();
@@ -102,16 +102,16 @@
 }
 
 fn write_all(
-    open: &mut Option<Folder<FileDisk>>,
+    open: &mut Option<Store<FileDisk>>,
     folder: &std::path::Path,
     batch: &BTreeMap<String, Record>,
 ) -> Result<(), Error> {
     if open.is_none() {
-        *open = Some(Folder::open(FileDisk::take(folder)?)?);
+        *open = Some(Store::open(FileDisk::lock(folder)?)?);
     }
     let Some(store) = open else { return Ok(()) };
     for record in batch.values() {
-        if let Err(error) = store.keep(record.clone()) {
+        if let Err(error) = store.put(record.clone()) {
             // A folder that has vanished is made anew by the next try.
             *open = None;
             return Err(error);
--- a/store/tests/crashes.rs
+++ b/store/tests/crashes.rs
@@ -1,7 +1,7 @@
 //! A store that is stopped at every byte that it writes, damaged at every bit, and met by a disk that fails.
 
 use marllink_store::frame::{self, Record};
-use marllink_store::{Disk, Error, FileDisk, Folder, LOG, Writer, read};
+use marllink_store::{Disk, Error, FileDisk, LOG_FILE, Store, Writer, read};
 use proptest::prelude::*;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -68,9 +68,9 @@
 fn play(bytes: usize) -> (usize, usize, Mortal) {
     let disk = Mortal { left: Rc::new(RefCell::new(bytes)), ..Mortal::default() };
     let mut kept = 0;
-    if let Ok(mut store) = Folder::open(disk.clone()) {
+    if let Ok(mut store) = Store::open(disk.clone()) {
         for record in run() {
-            if store.keep(record).is_err() {
+            if store.put(record).is_err() {
                 break;
             }
             kept += 1;
@@ -84,14 +84,14 @@
 fn a_run_stopped_at_every_write_loses_nothing_that_was_kept() {
     let (all, whole, disk) = play(usize::MAX / 2);
     assert_eq!(all, run().len());
-    assert!(disk.files.borrow()[LOG].len() < whole, "the log was written anew");
+    assert!(disk.files.borrow()[LOG_FILE].len() < whole, "the log was written anew");
     // Every byte of the beginning, which holds three whole records, and every 499th of what follows.
     let points: Vec<usize> = (0..600).chain((600..whole).step_by(499)).collect();
     assert!(points.len() > 700, "{}", points.len());
     for point in points {
         let (kept, _, disk) = play(point);
         *disk.left.borrow_mut() = usize::MAX;
-        let mut store = Folder::open(disk).expect("it opens");
+        let mut store = Store::open(disk).expect("it opens");
         let mut wanted = BTreeMap::new();
         run().into_iter().take(kept).for_each(|r| _ = wanted.insert(r.name.clone(), r));
         for (name, record) in &wanted {
@@ -101,14 +101,14 @@
             assert!(found == Some(record) || (next.is_some() && found == next.as_ref()), "{point}: {name}");
         }
         // It goes on from there.
-        store.keep(record("list", 1e6, 10)).expect("the disk is back");
+        store.put(record("list", 1e6, 10)).expect("the disk is back");
         assert_eq!(store.latest()["list"].at, 1e6);
     }
 }
 
 #[test]
 fn a_flipped_bit_costs_one_record_at_most() {
-    let mut bytes = frame::head();
+    let mut bytes = frame::header();
     for (n, name) in ["a", "b", "c", "d"].iter().enumerate() {
         bytes.extend(frame::encode(&record(name, n as f64, 20)).expect("short"));
     }
@@ -116,7 +116,7 @@
         let mut damaged = bytes.clone();
         damaged[bit / 8] ^= 1 << (bit % 8);
         let found = frame::decode(&damaged).unwrap_or_else(|e| panic!("bit {bit}: {e}"));
-        assert!(found.records >= 3, "bit {bit}: {}", found.records);
+        assert!(found.record_count >= 3, "bit {bit}: {}", found.record_count);
         let sound = found.latest.values().all(|r| *r == record(&r.name, r.at, 20));
         assert!(sound, "bit {bit}: something else is read than was written");
     }
@@ -124,34 +124,37 @@
 
 #[test]
 fn a_newer_programs_store_is_refused_and_left_as_it_is() {
-    let mut bytes = frame::head();
+    let mut bytes = frame::header();
     bytes[8] = 2;
     let error = frame::decode(&bytes).expect_err("it is newer").to_string();
     assert!(error.contains("version 2") && !error.contains('\n'), "{error}");
-    assert!(matches!(frame::decode(b"something else"), Err(Error::NoStore)));
-    assert_eq!(frame::decode(b"").expect("empty").records, 0);
+    assert!(matches!(frame::decode(b"something else"), Err(Error::NotAStore)));
+    assert_eq!(frame::decode(b"").expect("empty").record_count, 0);
 }
 
 #[test]
 fn what_is_old_never_replaces_what_is_newer() {
     let disk = Mortal { left: Rc::new(RefCell::new(usize::MAX)), ..Mortal::default() };
-    let mut store = Folder::open(disk.clone()).expect("empty");
-    assert!(store.keep(record("list", 9.0, 1)).expect("kept"));
-    assert!(!store.keep(record("list", 8.0, 1)).expect("passed over"));
-    assert!(matches!(store.keep(record("list", 10.0, 2 * frame::LONGEST)), Err(Error::TooLong(_))));
-    assert_eq!(Folder::open(disk).expect("sound").latest()["list"].at, 9.0);
+    let mut store = Store::open(disk.clone()).expect("empty");
+    assert!(store.put(record("list", 9.0, 1)).expect("kept"));
+    assert!(!store.put(record("list", 8.0, 1)).expect("passed over"));
+    assert!(matches!(
+        store.put(record("list", 10.0, 2 * frame::MAX_BODY_BYTES)),
+        Err(Error::RecordTooLong(_))
+    ));
+    assert_eq!(Store::open(disk).expect("sound").latest()["list"].at, 9.0);
 }
 
 #[test]
 fn one_process_writes_and_any_may_read() {
     let folder = tempfile::tempdir().expect("a folder");
-    let mut store = Folder::open(FileDisk::take(folder.path()).expect("free")).expect("empty");
-    assert!(matches!(FileDisk::take(folder.path()), Err(Error::Taken)));
-    store.keep(record("list", 1.0, 5)).expect("kept");
+    let mut store = Store::open(FileDisk::lock(folder.path()).expect("free")).expect("empty");
+    assert!(matches!(FileDisk::lock(folder.path()), Err(Error::Locked)));
+    store.put(record("list", 1.0, 5)).expect("kept");
     assert_eq!(read(folder.path()).expect("sound").latest.len(), 1);
     drop(store);
-    FileDisk::take(folder.path()).expect("free again");
-    assert_eq!(read(&folder.path().join("none")).expect("nothing").records, 0);
+    FileDisk::lock(folder.path()).expect("free again");
+    assert_eq!(read(&folder.path().join("none")).expect("nothing").record_count, 0);
 }
 
 #[test]
@@ -164,10 +167,10 @@
     let writer = Writer::open(folder.clone(), move |so| _ = tell.send(so.map_err(ToString::to_string)))
         .expect("a thread");
     let wait = Duration::from_secs(20);
-    writer.keep(record("list", 1.0, 5));
+    writer.put(record("list", 1.0, 5));
     assert!(told.recv_timeout(wait).expect("told").is_err());
-    writer.keep(record("list", 2.0, 5));
-    writer.keep(record("list", 1.5, 5));
+    writer.put(record("list", 2.0, 5));
+    writer.put(record("list", 1.5, 5));
     std::fs::remove_file(&folder).expect("out of the way");
     assert_eq!(told.recv_timeout(wait).expect("told"), Ok(()));
     assert!(told.try_recv().is_err(), "once each");
@@ -177,7 +180,7 @@
 proptest! {
     #[test]
     fn whatever_lies_there_is_read_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
-        let mut log = frame::head();
+        let mut log = frame::header();
         log.extend(frame::encode(&record("a", 1.0, 3)).expect("short"));
         log.extend(&bytes);
         prop_assert!(frame::decode(&log).is_ok_and(|found| found.latest.contains_key("a")));
