--- a/node/src/exchange/mod.rs
+++ b/node/src/exchange/mod.rs
@@ -297,7 +297,7 @@
         let owing: BTreeSet<_> = owing.collect();
         drop(entries);
         for server in owing {
-            self.core.feed(Event::Silent { server, sign: Sign::Unanswered });
+            self.core.feed(Event::Unresponsive { server, symptom: Sign::Unanswered });
         }
     }
 
@@ -630,7 +630,7 @@
         let settings = self.tuning.now();
         let number = settings.names.classes.id(class);
         let class = number.and_then(|number| settings.balancing.classes.get(usize::from(number)));
-        match class.map(|class| class.effect) {
+        match class.map(|class| class.idempotency) {
             Some(Effect::Safe) => Restores::Always,
             Some(_) | None => Restores::IfNeverRan,
         }
@@ -650,7 +650,7 @@
 
 fn strictest_aim(tuning: &Tuning) -> Millis {
     let settings = tuning.now();
-    let aims = settings.balancing.classes.iter().map(|c| c.message_aim_ms).filter(|aim| *aim > 0.0);
+    let aims = settings.balancing.classes.iter().map(|c| c.message_goal_ms).filter(|aim| *aim > 0.0);
     aims.fold(f64::INFINITY, f64::min)
 }
 
--- a/settings/src/parts.rs
+++ b/settings/src/parts.rs
@@ -36,9 +36,9 @@
 fn list(settings: &Settings) -> Feature {
     let why = match settings.discovery {
         Discovery::Push => "pushed: the watch is opened unasked and kept open".into(),
-        Discovery::Ask => format!(
+        Discovery::Pull => format!(
             "asked: the first call within {:.0} ms, again with growing pauses",
-            settings.rules.ask_within_ms / 4.0
+            settings.rules.fetch_within_ms / 4.0
         ),
     };
     Feature { name: "list", enabled: true, reason: why }
@@ -52,7 +52,7 @@
         false => "probes are not allowed",
         true => "reports hold no load over what a form host can do (x0)",
     };
-    let aim = settings.slow_aim();
+    let aim = settings.strictest_message_goal();
     let no_aim = "no class has an aim for messages (messageAimMs)";
     let source = match parsed.servers_report_delay {
         true => "told by form hosts, or measured by lines and their answers",
@@ -89,7 +89,7 @@
         ),
         part(
             "groups",
-            settings.groups,
+            settings.group_affinity,
             "a group goes to as many form hosts as its share of all connections",
             "connections share no work",
         ),
@@ -101,13 +101,13 @@
         ),
         part(
             "cold form hosts",
-            rules.warm_after_ms > 0.0 && rules.cold_from < 1.0,
+            rules.warm_up_ms > 0.0 && rules.initial_capacity_ratio < 1.0,
             format!(
                 "from {} of what they can do, warm after {:.0} s, never {} times that for {:.0} s by all",
-                rules.cold_from,
-                rules.warm_after_ms / 1_000.0,
-                rules.tip_multiple,
-                rules.overload_for_ms / 1_000.0
+                rules.initial_capacity_ratio,
+                rules.warm_up_ms / 1_000.0,
+                rules.collapse_load_ratio,
+                rules.collapse_after_ms / 1_000.0
             ),
             "form hosts start warm",
         ),
@@ -127,7 +127,7 @@
             format!(
                 "{shares} tenants share {told:.0} connections; above its share a tenant yields while form hosts \
                  are strained, as its connections are worth {} there",
-                settings.over_share_worth
+                settings.over_quota_value_ratio
             ),
             if shares == 1 { "one tenant alone has a share" } else { "no tenant has one" },
         ),
@@ -143,7 +143,7 @@
 /// What follows an attempt that failed.
 fn again(settings: &Settings) -> Vec<Feature> {
     let attempts = settings.limits.max_attempts;
-    let once = settings.classes.iter().filter(|c| c.effect == Effect::Unsafe).count();
+    let once = settings.classes.iter().filter(|c| c.idempotency == Effect::Unsafe).count();
     let classes = settings.classes.len();
     vec![
         part(
