--- a/admission/src/lib.rs
+++ b/admission/src/lib.rs
@@ -1,92 +1,92 @@
-//! Whose connections are worth least while there is not enough for all: those of tenants above their share.
+//! Admission control by tenant: which connections to reject while capacity is scarce.
 //!
-//! The settings tell for each tenant how many open connections of it, over all balancers, are within its
-//! share, and what others are worth. No balancer sees all of them, and traffic falls unevenly on balancers;
-//! so each compares the tenants with each other by what it holds itself: a tenant is above its share where it
-//! holds more for its share than all tenants together do for theirs, and more than the balancer's part of that
-//! share, by more than chance. Of a fleet that the others leave to it, it may have its share and all that is
-//! idle. While hosts are strained, what
-//! such a tenant asks for beyond that is refused, and it is the first to be relieved of; while they are not,
-//! nobody is turned away. That is weighted max-min fairness, by connections.
+//! The settings give for each tenant the number of open connections, over all balancers, that are within its share,
+//! and the value of those above it. No balancer sees all connections, and traffic is spread unevenly over balancers.
+//! Each therefore compares the tenants by its own connections: a tenant exceeds its share if it has a larger part of
+//! the connections than of the quotas, and more than the balancer's part of its quota, by more than chance. In a
+//! fleet that the other tenants leave idle, a tenant may use its share and all idle capacity. While servers are
+//! overloaded, further connections of a tenant above its share are rejected, and its connections are the first to be
+//! moved away; otherwise none are rejected. This is weighted max-min fairness, by connections.
 //!
-//! No I/O, no clock, no randomness: time is an argument.
+//! The library does no I/O, reads no clock and draws no random numbers: time is an argument.
 
 /// Milliseconds, as a point on the caller's monotonic clock.
 pub type Millis = f64;
 
-/// Above its share is who holds more than what all hold for theirs, by so many standard deviations, were each
-/// connection of any tenant by chance: one balancer of hundreds holds four, of which three say nothing.
-const CHANCE: f64 = 1.0;
-/// With this part of the own connections on strained hosts there is not enough for all ...
-const STRAINED: f64 = 0.1;
-/// ... and until so many ms have passed without: notes on strained hosts hold for half as long.
-const STRAINED_MS: Millis = 3_000.0;
+/// Standard deviations by which a tenant must exceed its share, as connections of each tenant reach a balancer at
+/// random: where a balancer of hundreds has four connections, three of one tenant prove nothing.
+const EXCESS_SIGMAS: f64 = 1.0;
+/// Ratio of own connections on overloaded servers from which capacity is scarce.
+const SCARCE_RATIO: f64 = 0.1;
+/// Time in ms for which capacity counts as scarce after that; twice as long as a server's report of overload is valid.
+const SCARCE_HOLD_MS: Millis = 3_000.0;
 
-/// What one balancer holds of each tenant. Say [`Shares::opened`] and [`Shares::closed`] of each
-/// connection, [`Shares::review`] now and then, and ask [`Shares::refuses`] before another.
+/// Connections of one balancer by tenant. Call [`TenantShares::opened`] and [`TenantShares::closed`] for each
+/// connection and [`TenantShares::review`] regularly, and check [`TenantShares::rejects`] before another connection.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Shares {
-    /// Open connections within the share of each, over all balancers; 0 where none is told.
+pub struct TenantShares {
+    /// Open connections within the share of each tenant, over all balancers; 0 for a tenant without a quota.
     quotas: Vec<f64>,
-    /// Over so many balancers.
+    /// Number of balancers in the fleet.
     balancers: f64,
-    held: Vec<f64>,
-    strained_until: Millis,
+    /// Own open connections of each tenant.
+    open: Vec<f64>,
+    scarce_until: Millis,
 }
 
-impl Shares {
-    /// For tenants with these shares, in open connections over so many balancers; 0 for none.
+impl TenantShares {
+    /// Creates the state for tenants with these quotas, in open connections over all balancers; 0 for none.
     #[must_use]
     pub fn new(quotas: Vec<f64>, balancers: u16) -> Self {
         let balancers = f64::from(balancers.max(1));
-        Self { held: vec![0.0; quotas.len()], quotas, balancers, strained_until: f64::MIN }
+        Self { open: vec![0.0; quotas.len()], quotas, balancers, scarce_until: f64::MIN }
     }
 
-    /// Other shares are in force, over so many balancers. Tenants keep their numbers.
-    pub fn retune(&mut self, quotas: Vec<f64>, balancers: u16) {
+    /// Replaces the quotas and the number of balancers. The indices of tenants stay valid.
+    pub fn update_quotas(&mut self, quotas: Vec<f64>, balancers: u16) {
         self.balancers = f64::from(balancers.max(1));
-        self.held.resize(quotas.len().max(self.held.len()), 0.0);
+        self.open.resize(quotas.len().max(self.open.len()), 0.0);
         self.quotas = quotas;
     }
 
-    /// A connection of this tenant stands.
+    /// Records an established connection of this tenant.
     pub fn opened(&mut self, tenant: u16) {
-        if let Some(held) = self.held.get_mut(usize::from(tenant)) {
-            *held += 1.0;
+        if let Some(open) = self.open.get_mut(usize::from(tenant)) {
+            *open += 1.0;
         }
     }
 
-    /// A connection of this tenant that stood has ended.
+    /// Records the end of an established connection of this tenant.
     pub fn closed(&mut self, tenant: u16) {
-        if let Some(held) = self.held.get_mut(usize::from(tenant)) {
-            *held = (*held - 1.0).max(0.0);
+        if let Some(open) = self.open.get_mut(usize::from(tenant)) {
+            *open = (*open - 1.0).max(0.0);
         }
     }
 
-    /// Takes note of how many own connections there are, and on strained hosts.
-    pub fn review(&mut self, now: Millis, held: f64, strained: f64) {
-        if held > 0.0 && strained >= STRAINED * held {
-            self.strained_until = now + STRAINED_MS;
+    /// Updates whether capacity is scarce, from the number of own connections in total and on overloaded servers.
+    pub fn review(&mut self, now: Millis, open: f64, on_overloaded: f64) {
+        if open > 0.0 && on_overloaded >= SCARCE_RATIO * open {
+            self.scarce_until = now + SCARCE_HOLD_MS;
         }
     }
 
-    /// True if this tenant is above its share with so many connections more.
+    /// Returns whether this tenant exceeds its share with that many additional connections.
     #[must_use]
-    pub fn above(&self, tenant: u16, more: f64) -> bool {
+    pub fn exceeds_share(&self, tenant: u16, additional: f64) -> bool {
         let tenant = usize::from(tenant);
         let Some(quota) = self.quotas.get(tenant).copied().filter(|q| *q > 0.0) else { return false };
-        let told = || self.quotas.iter().zip(&self.held).filter(|(quota, _)| **quota > 0.0);
-        let all: f64 = told().map(|(_, held)| held).sum::<f64>() + more;
-        let quotas: f64 = told().map(|(quota, _)| quota).sum();
-        let part = quota / quotas;
-        let within = (all * part).max(quota / self.balancers);
-        self.held[tenant] + more > within + CHANCE * (all * part * (1.0 - part)).sqrt()
+        let tenants_with_quota = || self.quotas.iter().zip(&self.open).filter(|(quota, _)| **quota > 0.0);
+        let total: f64 = tenants_with_quota().map(|(_, open)| open).sum::<f64>() + additional;
+        let quota_sum: f64 = tenants_with_quota().map(|(quota, _)| quota).sum();
+        let share = quota / quota_sum;
+        let allowed = (total * share).max(quota / self.balancers);
+        self.open[tenant] + additional > allowed + EXCESS_SIGMAS * (total * share * (1.0 - share)).sqrt()
     }
 
-    /// True if another connection of this tenant is not to be taken now.
+    /// Returns whether another connection of this tenant is to be rejected now.
     #[must_use]
-    pub fn refuses(&self, now: Millis, tenant: u16) -> bool {
-        now < self.strained_until && self.above(tenant, 1.0)
+    pub fn rejects(&self, now: Millis, tenant: u16) -> bool {
+        now < self.scarce_until && self.exceeds_share(tenant, 1.0)
     }
 }
 
@@ -94,53 +94,58 @@
 mod tests {
     use super::*;
 
-    fn held(quotas: &[f64], balancers: u16, held: &[u32]) -> Shares {
-        let mut shares = Shares::new(quotas.to_vec(), balancers);
-        for (tenant, count) in held.iter().enumerate() {
+    fn with_open(quotas: &[f64], balancers: u16, open: &[u32]) -> TenantShares {
+        let mut shares = TenantShares::new(quotas.to_vec(), balancers);
+        for (tenant, count) in open.iter().enumerate() {
             (0..*count).for_each(|_| shares.opened(tenant as u16));
         }
         shares
     }
 
     #[test]
-    fn a_tenant_at_five_times_its_share_is_refused_while_hosts_are_strained_and_nobody_else() {
-        // This balancer sees much of one and little of the other; the shares are of the whole fleet.
-        let mut shares = held(&[59.0, 41.0], 3, &[50, 7]);
-        assert!(!shares.refuses(0.0, 0), "no host is strained");
+    fn only_a_tenant_above_its_share_is_rejected_and_only_while_servers_are_overloaded() {
+        // This balancer sees much traffic of one tenant and little of the other; the quotas are of the whole fleet.
+        let mut shares = with_open(&[59.0, 41.0], 3, &[50, 7]);
+        assert!(!shares.rejects(0.0, 0), "no server is overloaded");
         shares.review(0.0, 57.0, 5.0);
-        assert!(!shares.refuses(0.0, 0), "too few are on strained hosts");
+        assert!(!shares.rejects(0.0, 0), "too few connections are on overloaded servers");
         shares.review(0.0, 57.0, 6.0);
-        assert!(shares.refuses(2_999.0, 0) && !shares.refuses(2_999.0, 1));
-        assert!(!shares.refuses(3_000.0, 0));
-        // Once enough of it has ended it may have more again.
+        assert!(shares.rejects(2_999.0, 0) && !shares.rejects(2_999.0, 1));
+        assert!(!shares.rejects(3_000.0, 0));
+        // Once enough of its connections have closed, it may open connections again.
         (0..40).for_each(|_| shares.closed(0));
-        assert!(!shares.refuses(0.0, 0));
+        assert!(!shares.rejects(0.0, 0));
     }
 
     #[test]
-    fn whoever_keeps_to_the_shares_is_never_above_and_one_tenant_alone_is_none() {
-        let even = held(&[59.0, 41.0], 1, &[59, 41]);
-        assert!(!even.above(0, 1.0) && !even.above(1, 1.0));
-        assert!(!held(&[59.0], 3, &[400]).above(0, 1.0));
-        assert!(!held(&[0.0, 0.0], 3, &[400, 1]).above(0, 1.0));
-        assert!(!held(&[], 3, &[]).above(3, 1.0));
+    fn tenants_within_their_shares_and_a_single_tenant_never_exceed_them() {
+        let within_quota = with_open(&[59.0, 41.0], 1, &[59, 41]);
+        assert!(!within_quota.exceeds_share(0, 1.0) && !within_quota.exceeds_share(1, 1.0));
+        assert!(!with_open(&[59.0], 3, &[400]).exceeds_share(0, 1.0));
+        assert!(!with_open(&[0.0, 0.0], 3, &[400, 1]).exceeds_share(0, 1.0));
+        assert!(!with_open(&[], 3, &[]).exceeds_share(3, 1.0));
     }
 
     #[test]
-    fn a_tenant_whose_neighbours_are_idle_has_its_share_and_a_few_connections_say_nothing() {
-        assert!(!held(&[59.0, 41.0], 3, &[15, 0]).above(0, 1.0));
-        assert!(!held(&[59.0, 41.0], 3, &[21, 12]).above(0, 1.0), "more than others, by chance");
-        assert!(held(&[59.0, 41.0], 3, &[30, 2]).above(0, 1.0));
-        // One of 300 balancers holds four.
-        assert!(!held(&[59.0, 41.0], 300, &[3, 1]).above(0, 1.0));
+    fn a_tenant_has_its_share_while_others_are_idle_and_few_connections_prove_nothing() {
+        assert!(!with_open(&[59.0, 41.0], 3, &[15, 0]).exceeds_share(0, 1.0));
+        assert!(
+            !with_open(&[59.0, 41.0], 3, &[21, 12]).exceeds_share(0, 1.0),
+            "above the other tenant, by chance"
+        );
+        assert!(with_open(&[59.0, 41.0], 3, &[30, 2]).exceeds_share(0, 1.0));
+        // One of 300 balancers has four connections.
+        assert!(!with_open(&[59.0, 41.0], 300, &[3, 1]).exceeds_share(0, 1.0));
     }
 
     #[test]
-    fn new_shares_count_what_is_held_already() {
-        let mut shares = held(&[50.0, 50.0], 3, &[30, 30]);
-        assert!(!shares.above(0, 1.0));
-        shares.retune(vec![10.0, 50.0, 10.0], 3);
-        assert!(shares.above(0, 1.0) && !shares.above(1, 1.0) && !shares.above(2, 1.0));
+    fn new_quotas_apply_to_connections_that_are_already_open() {
+        let mut shares = with_open(&[50.0, 50.0], 3, &[30, 30]);
+        assert!(!shares.exceeds_share(0, 1.0));
+        shares.update_quotas(vec![10.0, 50.0, 10.0], 3);
+        assert!(
+            shares.exceeds_share(0, 1.0) && !shares.exceeds_share(1, 1.0) && !shares.exceeds_share(2, 1.0)
+        );
         shares.closed(9);
     }
 }
--- a/fleet/src/setting.rs
+++ b/fleet/src/setting.rs
@@ -4,7 +4,7 @@
 use crate::drive::Node;
 use crate::kind::{Kind, Size, Sort};
 use marllink::{
-    Class as Told, Discovery, Effect, Limits, NodeId, Prices, ReportField, Rules, Settings, ZoneId,
+    Class as Told, Discovery, Idempotency, Limits, NodeId, Prices, ReportField, Rules, Settings, ZoneId,
 };
 use marllink_emulator::model::crowd::{Calls, Class, Form, Host, Manners, Service};
 use rand::Rng;
@@ -130,7 +130,7 @@
 fn told(shape: &Shape, kind: &Kind, zones: usize, at: usize, all: f64) -> Settings {
     let class = |sort: &Sort| Told {
         aim_ms: 800.0,
-        effect: Effect::Safe,
+        effect: Idempotency::Safe,
         worth: sort.worth,
         message_aim_ms: sort.message_aim_ms,
     };
--- a/fleet/src/trouble.rs
+++ b/fleet/src/trouble.rs
@@ -3,7 +3,7 @@
 use crate::Millis;
 use crate::day::What;
 use crate::world::{Event, World};
-use marllink::{Event as In, Plant, RequestId, ServerId, Sign};
+use marllink::{Event as In, Plant, RequestId, ServerId, Symptom};
 use marllink_emulator::model::crowd::{Gap, Phase};
 use rand::Rng;
 use rand::seq::SliceRandom;
@@ -216,7 +216,7 @@
     /// A line has had no answer since then: its balancer sees that, and the same line for as long as it waits.
     pub(crate) fn unanswered(&mut self, at: usize, host: usize, since: Millis) {
         let Some(node) = self.stands_at(at, host).filter(|_| self.hushed[host]) else { return };
-        self.tell_silence(node, host, Sign::Unanswered);
+        self.tell_silence(node, host, Symptom::OverdueReply);
         let waited = self.now() - since;
         if let Some(node) = self.stands_at(at, host) {
             // Notes of slow messages come once a second.
@@ -229,7 +229,7 @@
     }
 
     /// The network code of a balancer tells its decisions that a host looks silent.
-    pub(crate) fn tell_silence(&mut self, node: usize, host: usize, sign: Sign) {
+    pub(crate) fn tell_silence(&mut self, node: usize, host: usize, sign: Symptom) {
         if !self.strategy.is_planted(Plant::SilenceUntold) {
             self.feed(node, In::Silent { server: ServerId(host as u64), sign });
         }
--- a/fleet/src/world.rs
+++ b/fleet/src/world.rs
@@ -14,7 +14,7 @@
 use crate::setting;
 use marllink::{
     Action, AttemptNo, ClassId, Event as In, ListKind, NewRequest, Outcome, Plant, RequestId, ServerEntry,
-    ServerId, ServerState, Sign, TimerToken,
+    ServerId, ServerState, Symptom, TimerToken,
 };
 use marllink_emulator::model::crowd::{Answer, Calls, Class, Client, Gap, Host, Manners, Phase};
 use rand::rngs::SmallRng;
@@ -505,7 +505,7 @@
             Event::Unanswered { at, host, since } => self.unanswered(at, host, since),
             Event::NoConnection { node, life, host } => {
                 if self.alive(node, life) {
-                    self.tell_silence(node, host, Sign::NoConnection);
+                    self.tell_silence(node, host, Symptom::ConnectTimeout);
                 }
             }
             Event::Fault(at) => self.fault(at),
--- a/node/src/exchange/holders.rs
+++ b/node/src/exchange/holders.rs
@@ -5,7 +5,7 @@
 use crate::host::told::{self, Meaning, Seen};
 use crate::io::clock::Millis;
 use crate::protocol::report::{self, Report};
-use marllink::{AttemptNo, Event, Outcome, RequestId, ServerId, Sign};
+use marllink::{AttemptNo, Event, Outcome, RequestId, ServerId, Symptom};
 use marllink_sessions::Event as SessionEvent;
 use std::rc::{Rc, Weak};
 
@@ -196,7 +196,7 @@
 
     /// No connection came up in the time for that, and none was refused.
     pub fn no_connection(&self) {
-        self.exchange.core.feed(Event::Silent { server: self.server, sign: Sign::NoConnection });
+        self.exchange.core.feed(Event::Silent { server: self.server, sign: Symptom::ConnectTimeout });
     }
 
     /// One try to restore the connection has failed, and another one follows. To be called once its socket is closed.
@@ -250,7 +250,7 @@
     /// No connection came up in the time for that, and none was refused.
     pub fn no_connection(&self) {
         if let Some(exchange) = self.exchange.upgrade() {
-            exchange.core.feed(Event::Silent { server: self.server, sign: Sign::NoConnection });
+            exchange.core.feed(Event::Silent { server: self.server, sign: Symptom::ConnectTimeout });
         }
     }
 }
--- a/node/src/exchange/mod.rs
+++ b/node/src/exchange/mod.rs
@@ -23,7 +23,9 @@
 use crate::protocol::line::{self, Opening};
 use crate::protocol::session::{self, FromClient};
 pub use holders::{AttemptHandle, ProbeResult, RequestHandle};
-use marllink::{AttemptNo, ClassId, Effect, Event, NewRequest, Outcome, RequestId, ServerId, Sign, TenantId};
+use marllink::{
+    AttemptNo, ClassId, Event, Idempotency, NewRequest, Outcome, RequestId, ServerId, Symptom, TenantId,
+};
 use marllink_sessions::{Ask, Event as SessionEvent};
 pub use orders::{Adopted, Attempt, Order, Probe, Restores};
 use pipe::Handoff;
@@ -299,7 +301,7 @@
         let owing: BTreeSet<_> = owing.collect();
         drop(entries);
         for server in owing {
-            self.core.feed(Event::Silent { server, sign: Sign::Unanswered });
+            self.core.feed(Event::Silent { server, sign: Symptom::OverdueReply });
         }
     }
 
@@ -633,7 +635,7 @@
         let number = settings.names.classes.number(class);
         let class = number.and_then(|number| settings.decisions.classes.get(usize::from(number)));
         match class.map(|class| class.effect) {
-            Some(Effect::Safe) => Restores::Always,
+            Some(Idempotency::Safe) => Restores::Always,
             Some(_) | None => Restores::IfNeverRan,
         }
     }
--- a/node/src/membership/discovery.rs
+++ b/node/src/membership/discovery.rs
@@ -16,7 +16,9 @@
 use crate::protocol::discovery::{self as syntax, List, Said, Target};
 use crate::protocol::http::{self, Read};
 use marllink::{Event, ListKind, ServerId};
-use marllink_rate_limits::calls::{ANSWER_MS, BUSY_MS, CONNECT_MS, SILENT_MS};
+use marllink_rate_limits::discovery_calls::{
+    CONNECT_TIMEOUT_MS, OVERLOADED_RESPONSE_TIMEOUT_MS, RESPONSE_TIMEOUT_MS, WATCH_TIMEOUT_MS,
+};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -216,11 +218,11 @@
     /// Tells why there is none: the service can't be reached, refuses it, breaks, or does not answer in time.
     async fn call(&self, path: &str) -> Result<Body, String> {
         let host = self.address.get();
-        let stream = connect(&self.clock, host, CONNECT_MS).await.map_err(|e| e.to_string())?;
+        let stream = connect(&self.clock, host, CONNECT_TIMEOUT_MS).await.map_err(|e| e.to_string())?;
         let patience = match (self.pushed, self.busy.replace(true)) {
             (true, _) => PUSHED_ANSWER_MS,
-            (false, false) => ANSWER_MS,
-            (false, true) => BUSY_MS,
+            (false, false) => RESPONSE_TIMEOUT_MS,
+            (false, true) => OVERLOADED_RESPONSE_TIMEOUT_MS,
         };
         let body = self.clock.within(patience, begin(stream, host, path)).await.ok_or("no answer")??;
         self.busy.set(false);
@@ -231,7 +233,7 @@
     async fn fetch_list(&self) -> Result<(), String> {
         let before = self.rev.get();
         let mut body = self.call("/catalog/members").await?;
-        let whole = self.clock.within(ANSWER_MS, body.read_all()).await;
+        let whole = self.clock.within(RESPONSE_TIMEOUT_MS, body.read_all()).await;
         whole.unwrap_or_else(|| Err("no end of the list".into()))?;
         let list = syntax::list(&body.text).ok_or("no list")?;
         // The watch may have brought later changes while this was under way.
@@ -260,7 +262,7 @@
                 (since, under_way) = (self.clock.now(), true);
             }
             body.unread = body.text.len();
-            let more = self.clock.within(since + SILENT_MS - self.clock.now(), body.read_some()).await;
+            let more = self.clock.within(since + WATCH_TIMEOUT_MS - self.clock.now(), body.read_some()).await;
             if !more.ok_or("silence")?? {
                 return Err("the watch ended".into());
             }
--- a/node/src/operations/shutdown.rs
+++ b/node/src/operations/shutdown.rs
@@ -6,7 +6,7 @@
 use crate::io::listener::Listener;
 use crate::operations::handover::Handover;
 use crate::operations::tuning::Tuning;
-use marllink_rate_limits::ending::Ending;
+use marllink_rate_limits::shutdown::ShutdownSchedule;
 use std::rc::Rc;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
@@ -46,19 +46,19 @@
         let (clock, handover) = (self.clock, self.handover);
         handover.leaving.set(true);
         let told_at = clock.now();
-        let ending = Ending::within(self.tuning.now().longest_deadline_ms);
+        let ending = ShutdownSchedule::for_deadline(self.tuning.now().longest_deadline_ms);
         let mut serving = handover.serving.subscribe();
         tracing::info!(
             requests = handover.exchange.len(),
-            killed_after_ms = ending.killed_at,
+            killed_after_ms = ending.kill_at,
             "SIGTERM: serving newcomers, then moving all"
         );
         // A successor may take clients at this very moment.
         let succeeded = serving.wait_for(|serving| !*serving);
         let succeeded = clock.within(ending.serve_until, succeeded).await.is_some();
-        let pass_until = if succeeded { clock.now() - told_at + ending.pass_until } else { 0.0 };
+        let pass_until = if succeeded { clock.now() - told_at + ending.handover_until } else { 0.0 };
         let [from, until, leave_at] =
-            [pass_until, ending.answer_at, ending.leave_at].map(|after| told_at + after);
+            [pass_until, ending.answer_pending_at, ending.exit_at].map(|after| told_at + after);
         tokio::select! {
             () = self.until_empty() => {}
             () = self.moving(from, until, leave_at) => {}
--- a/node/src/operations/state.rs
+++ b/node/src/operations/state.rs
@@ -114,7 +114,11 @@
             Err(error) => tracing::warn!("the store {shown}: {error}; going on without"),
         })?;
         let trusted_ms = f64::from(store.trusted_s) * 1_000.0;
-        let limits = Limits { trusted_ms, at_once: usize::from(store.asked_at_once), ..Limits::default() };
+        let limits = Limits {
+            trusted_age_ms: trusted_ms,
+            max_in_flight: usize::from(store.asked_at_once),
+            ..Limits::default()
+        };
         let recovery = RefCell::new(Recovery::new(limits, seed, parts.clock.now()));
         let (kept_at, changed) = (Cell::new(f64::MIN), Notify::new());
         let this = Rc::new_cyclic(|me| Self {
@@ -136,7 +140,7 @@
         let (list, age_ms) = choose(known, discovery.address(), read(folder), clock.unix());
         let serving = list.targets.iter().filter(|t| t.is_serving()).map(|t| t.server()).collect();
         let mut commands = Vec::new();
-        self.recovery.borrow_mut().begin(clock.now(), age_ms, serving, &mut commands);
+        self.recovery.borrow_mut().start(clock.now(), age_ms, serving, &mut commands);
         let admitted: HashSet<_> = commands
             .iter()
             .filter_map(|c| if let Command::Admit(host) = c { Some(*host) } else { None })
@@ -161,14 +165,14 @@
         tokio::task::spawn_local(async move {
             this.parts.core.served().await;
             // Before the list is good that is no service yet.
-            while this.recovery.borrow().phase() < Phase::Listed {
+            while this.recovery.borrow().phase() < Phase::ListTrusted {
                 this.parts.core.served().await;
             }
-            this.handle(Event::Served);
+            this.handle(Event::ConnectionEstablished);
         });
         loop {
             let now = self.parts.clock.now();
-            let due = self.recovery.borrow().due();
+            let due = self.recovery.borrow().next_timeout();
             let wait = due.map_or(self.trusted_ms / 4.0, |due| (due - now).clamp(1.0, self.trusted_ms / 4.0));
             let changed = self.changed.notified();
             tokio::select! {
@@ -176,7 +180,7 @@
                 () = changed => {}
             }
             if due.is_some_and(|due| due <= self.parts.clock.now()) {
-                self.step(Event::Due);
+                self.step(Event::Timeout);
             }
             let heard = self.parts.discovery.heard_at();
             if heard > self.kept_at.get() + self.trusted_ms / 4.0 {
@@ -214,10 +218,10 @@
         }
         for command in commands {
             match command {
-                Command::Ask(host) => self.ask(host),
-                Command::Phase(phase) => {
+                Command::Probe(host) => self.ask(host),
+                Command::PhaseChanged(phase) => {
                     let recovery = self.recovery.borrow();
-                    let took = recovery.spent().last().map_or(0.0, |spent| spent.1);
+                    let took = recovery.phase_durations().last().map_or(0.0, |spent| spent.1);
                     tracing::info!("phase {}, after {took:.0} ms", phase.name());
                 }
                 Command::Admit(_) => {}
@@ -229,7 +233,7 @@
         let Some(this) = self.me.upgrade() else { return };
         tokio::task::spawn_local(async move {
             let there = this.parts.clock.within(ANSWER_MS, this.is_there(host)).await.unwrap_or(false);
-            this.handle(Event::Answered { host, there });
+            this.handle(Event::ProbeCompleted { server: host, reachable: there });
         });
     }
 
@@ -259,7 +263,7 @@
         self.keep(&list);
         // Discovery is in the middle of telling: what follows for the decisions comes after that.
         let Some(this) = self.me.upgrade() else { return };
-        tokio::task::spawn_local(async move { this.handle(Event::Listed) });
+        tokio::task::spawn_local(async move { this.handle(Event::ListReceived) });
     }
 }
 
--- a/recovery/src/lib.rs
+++ b/recovery/src/lib.rs
@@ -1,242 +1,262 @@
-//! What a process that has just started may do with a list of hosts that may be old.
+//! Startup of a process whose stored server list may be outdated.
 //!
-//! A list that was kept on disk tells where hosts were, not whether they still are: one that is gone costs each
-//! request that is sent there an attempt, and one that was replaced under the same address is cold. So hosts of a
-//! list that is older than it may be are in *doubt*: each is asked first whether it is there, a few at a time and in an
-//! order of this balancer's own, so that all balancers of a fleet that starts together do not ask the same one. One
-//! that answers is let in; one that does not is asked again after growing pauses. Hosts that were draining or gone stay out until discovery says otherwise. Word of
-//! discovery itself ends all doubt: a whole list, or what has changed since the one in hand.
+//! A list that was stored on disk gives the servers of that time. A server that has gone since costs each request
+//! that is sent to it an attempt, and one that was replaced under the same address needs a slow start. The servers of
+//! a list beyond the trusted age are therefore *unverified*: each is probed first, a few at a time and in an order of
+//! the balancer's own, so that the balancers of a fleet that starts together do not all probe the same server. A
+//! server that answers is admitted; one that does not is probed again with increasing delays. Servers that were
+//! draining or gone stay excluded until discovery lists them otherwise. A response of discovery, be it a whole list or
+//! the changes to the list at hand, ends the verification.
 //!
-//! No I/O and no clock: time is an argument. In this order: [`Recovery::new`], [`Recovery::begin`] once, then
-//! [`Recovery::handle`] with each event, and again with [`Event::Due`] when [`Recovery::due`] says.
+//! The library does no I/O and reads no clock: time is an argument. Call [`Recovery::new`], then [`Recovery::start`]
+//! once, then [`Recovery::handle`] with each event, and with [`Event::Timeout`] at [`Recovery::next_timeout`].
 //!
 //! ```
 //! use marllink_recovery::{Command, Event, Limits, Recovery};
 //!
 //! let mut recovery = Recovery::new(Limits::default(), 7, 0.0);
-//! let mut out = Vec::new();
-//! // A list of three days ago, with one host that serves.
-//! recovery.begin(0.0, Some(259_200_000.0), vec!["s-1"], &mut out);
-//! assert!(out.contains(&Command::Ask("s-1")));
-//! out.clear();
-//! recovery.handle(2.0, Event::Answered { host: "s-1", there: true }, &mut out);
-//! assert!(out.contains(&Command::Admit("s-1")));
+//! let mut commands = Vec::new();
+//! // A list from three days ago, with one serving server.
+//! recovery.start(0.0, Some(259_200_000.0), vec!["s-1"], &mut commands);
+//! assert!(commands.contains(&Command::Probe("s-1")));
+//! commands.clear();
+//! recovery.handle(2.0, Event::ProbeCompleted { server: "s-1", reachable: true }, &mut commands);
+//! assert!(commands.contains(&Command::Admit("s-1")));
 //! ```
 
 use rand_xoshiro::Xoshiro256PlusPlus;
 use rand_xoshiro::rand_core::{Rng, SeedableRng};
 
-/// Milliseconds, as a point on the caller's monotonic clock or as a span.
+/// Milliseconds, as a point on the caller's monotonic clock or as a duration.
 pub type Millis = f64;
 
-/// How a list is trusted, and how hosts are asked.
+/// Limits on the age of a list and on probes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// A list younger than this is taken as it is, in ms: within it discovery would not have told of a change
-    /// either.
-    pub trusted_ms: Millis,
-    /// Hosts asked at once at most.
-    pub at_once: usize,
-    /// An answer is waited for so long, in ms.
-    pub patience_ms: Millis,
-    /// One that did not answer is asked again after this, doubled each time up to sixteen times it.
-    pub again_ms: Millis,
+    /// Age in ms up to which a list is trusted: discovery itself would not have reported a change sooner.
+    pub trusted_age_ms: Millis,
+    /// Maximum number of concurrent probes.
+    pub max_in_flight: usize,
+    /// Maximum time to wait for the answer to a probe, in ms.
+    pub probe_timeout_ms: Millis,
+    /// Mean delay in ms before another probe of a server that did not answer; doubles with each failure, up to
+    /// sixteenfold.
+    pub retry_delay_ms: Millis,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Self { trusted_ms: 10_000.0, at_once: 4, patience_ms: 500.0, again_ms: 1_000.0 }
+        Self { trusted_age_ms: 10_000.0, max_in_flight: 4, probe_timeout_ms: 500.0, retry_delay_ms: 1_000.0 }
     }
 }
 
-/// How far a process has come.
+/// Phases of the startup, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// It has no list. Ends with one.
-    Blind,
-    /// It has a list that may be old. Ends when discovery has told, or all hosts have been asked.
-    Doubting,
-    /// It has a list that is good. Ends once a connection stands.
-    Listed,
-    /// It serves.
+    /// There is no list yet.
+    NoList,
+    /// There is a list that may be outdated. Ends when discovery responds or all servers have been admitted.
+    Verifying,
+    /// There is a list that is current. Ends when a connection is established.
+    ListTrusted,
+    /// The process serves clients.
     Serving,
 }
 
 impl Phase {
-    /// Its name in logs.
+    /// Returns the name of the phase in logs.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
-            Self::Blind => "blind",
-            Self::Doubting => "doubting",
-            Self::Listed => "listed",
+            Self::NoList => "blind",
+            Self::Verifying => "doubting",
+            Self::ListTrusted => "listed",
             Self::Serving => "serving",
         }
     }
 }
 
-/// What happens to the process.
+/// Input of [`Recovery::handle`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Event<H> {
-    /// A host that was asked has answered, or it is known that it is not there.
-    Answered {
-        /// Which.
-        host: H,
-        /// It is there.
-        there: bool,
+pub enum Event<S> {
+    /// A probe was answered or failed.
+    ProbeCompleted {
+        /// The probed server.
+        server: S,
+        /// Whether it answered.
+        reachable: bool,
     },
-    /// Discovery has told its list.
-    Listed,
-    /// A connection stands.
-    Served,
-    /// The time that [`Recovery::due`] told has come.
-    Due,
+    /// Discovery has sent its list, or changes to the list at hand.
+    ListReceived,
+    /// A connection was established.
+    ConnectionEstablished,
+    /// The time of [`Recovery::next_timeout`] was reached.
+    Timeout,
 }
 
-/// What is to be done.
+/// Output of [`Recovery`], to be carried out in order.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Command<H> {
-    /// Connections may go to this host, as it is listed.
-    Admit(H),
-    /// Ask this host whether it is there.
-    Ask(H),
-    /// Another phase has begun.
-    Phase(Phase),
+pub enum Command<S> {
+    /// Permit connections to this server, as it is listed.
+    Admit(S),
+    /// Probe whether this server is reachable.
+    Probe(S),
+    /// A new phase has begun.
+    PhaseChanged(Phase),
 }
 
 #[derive(Clone, Debug)]
 enum State {
-    Waits { from: Millis },
-    Asked { until: Millis },
-    In,
+    Waiting { probe_at: Millis },
+    Probing { deadline: Millis },
+    Admitted,
 }
 
-/// The start of one process.
+/// State of the startup of one process.
 #[derive(Clone, Debug)]
-pub struct Recovery<H> {
+pub struct Recovery<S> {
     limits: Limits,
     rng: Xoshiro256PlusPlus,
     phase: Phase,
-    since: Millis,
-    spent: Vec<(Phase, Millis)>,
-    hosts: Vec<(H, State, u32)>,
+    phase_started_at: Millis,
+    phase_durations: Vec<(Phase, Millis)>,
+    /// The unverified servers, each with its state and the number of failed probes.
+    servers: Vec<(S, State, u32)>,
 }
 
-impl<H: Copy + PartialEq> Recovery<H> {
-    /// A process that knows nothing. `seed` should differ between balancers and starts.
+impl<S: Copy + PartialEq> Recovery<S> {
+    /// Creates the state of a process without a list. `seed` should differ between balancers and between starts.
     #[must_use]
     pub fn new(limits: Limits, seed: u64, now: Millis) -> Self {
         let rng = Xoshiro256PlusPlus::seed_from_u64(seed);
-        Self { limits, rng, phase: Phase::Blind, since: now, spent: Vec::new(), hosts: Vec::new() }
+        Self {
+            limits,
+            rng,
+            phase: Phase::NoList,
+            phase_started_at: now,
+            phase_durations: Vec::new(),
+            servers: Vec::new(),
+        }
     }
 
-    /// Begins with the hosts that served by a list of this age, in ms; of no age if nobody knows when it was
-    /// made, which is as good as new: the platform hands such a list over at the start.
-    pub fn begin(&mut self, now: Millis, age_ms: Option<Millis>, hosts: Vec<H>, out: &mut Vec<Command<H>>) {
-        if hosts.is_empty() {
+    /// Starts with the servers that were serving in a list of this age, in ms. `None` for an unknown age counts as
+    /// new: the platform hands over such a list at the start.
+    pub fn start(
+        &mut self,
+        now: Millis,
+        age_ms: Option<Millis>,
+        servers: Vec<S>,
+        commands: &mut Vec<Command<S>>,
+    ) {
+        if servers.is_empty() {
             return;
         }
-        // A clock that was set back makes a list of tomorrow: nobody knows how old that is.
-        let trusted = age_ms.is_none_or(|age| (0.0..=self.limits.trusted_ms).contains(&age));
+        // If the clock was set back, the list may be from the future, and its real age is unknown.
+        let trusted = age_ms.is_none_or(|age| (0.0..=self.limits.trusted_age_ms).contains(&age));
         if trusted {
-            out.extend(hosts.into_iter().map(|host| Command::Admit(host)));
-            self.enter(now, Phase::Listed, out);
+            commands.extend(servers.into_iter().map(|server| Command::Admit(server)));
+            self.enter(now, Phase::ListTrusted, commands);
             return;
         }
-        self.hosts = hosts.into_iter().map(|host| (host, State::Waits { from: now }, 0)).collect();
-        for at in (1..self.hosts.len()).rev() {
+        self.servers =
+            servers.into_iter().map(|server| (server, State::Waiting { probe_at: now }, 0)).collect();
+        for at in (1..self.servers.len()).rev() {
             let other = (self.rng.next_u64() % (at as u64 + 1)) as usize;
-            self.hosts.swap(at, other);
+            self.servers.swap(at, other);
         }
-        self.enter(now, Phase::Doubting, out);
-        self.ask(now, out);
+        self.enter(now, Phase::Verifying, commands);
+        self.probe_waiting(now, commands);
     }
 
-    /// Takes an event.
-    pub fn handle(&mut self, now: Millis, event: Event<H>, out: &mut Vec<Command<H>>) {
+    /// Handles an event that happened at `now` and appends the resulting commands.
+    pub fn handle(&mut self, now: Millis, event: Event<S>, commands: &mut Vec<Command<S>>) {
         match event {
-            Event::Listed => {
-                // What it has not changed is as it was.
-                let doubted = self.hosts.drain(..).filter(|h| !matches!(h.1, State::In));
-                out.extend(doubted.map(|h| Command::Admit(h.0)));
-                self.enter(now, Phase::Listed, out);
+            Event::ListReceived => {
+                // Servers that discovery has not changed are as they were listed.
+                let unverified = self.servers.drain(..).filter(|s| !matches!(s.1, State::Admitted));
+                commands.extend(unverified.map(|s| Command::Admit(s.0)));
+                self.enter(now, Phase::ListTrusted, commands);
+            }
+            Event::ConnectionEstablished if self.phase == Phase::ListTrusted => {
+                self.enter(now, Phase::Serving, commands)
             }
-            Event::Served if self.phase == Phase::Listed => self.enter(now, Phase::Serving, out),
-            Event::Answered { host, there } => {
-                let Some((_, state, _)) = self.hosts.iter_mut().find(|h| h.0 == host) else { return };
-                if !matches!(state, State::Asked { .. }) {
+            Event::ProbeCompleted { server, reachable } => {
+                let Some((_, state, _)) = self.servers.iter_mut().find(|s| s.0 == server) else { return };
+                if !matches!(state, State::Probing { .. }) {
                     return;
                 }
-                if there {
-                    *state = State::In;
-                    out.push(Command::Admit(host));
+                if reachable {
+                    *state = State::Admitted;
+                    commands.push(Command::Admit(server));
                 } else {
-                    self.missed(now, host);
+                    self.record_failure(now, server);
                 }
-                if self.hosts.iter().all(|h| matches!(h.1, State::In)) {
-                    self.enter(now, Phase::Listed, out);
+                if self.servers.iter().all(|s| matches!(s.1, State::Admitted)) {
+                    self.enter(now, Phase::ListTrusted, commands);
                 }
             }
-            Event::Due | Event::Served => {}
+            Event::Timeout | Event::ConnectionEstablished => {}
         }
-        let late = |h: &&(H, State, u32)| matches!(h.1, State::Asked { until } if until <= now);
-        let late: Vec<_> = self.hosts.iter().filter(late).map(|h| h.0).collect();
-        late.into_iter().for_each(|host| self.missed(now, host));
-        self.ask(now, out);
+        let timed_out = |s: &&(S, State, u32)| matches!(s.1, State::Probing { deadline } if deadline <= now);
+        let timed_out: Vec<_> = self.servers.iter().filter(timed_out).map(|s| s.0).collect();
+        timed_out.into_iter().for_each(|server| self.record_failure(now, server));
+        self.probe_waiting(now, commands);
     }
 
-    fn missed(&mut self, now: Millis, host: H) {
-        let spread = 0.5 + (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
-        if let Some((_, state, misses)) = self.hosts.iter_mut().find(|h| h.0 == host) {
-            let pause = self.limits.again_ms * f64::from(1u32 << (*misses).min(4));
-            *misses += 1;
-            *state = State::Waits { from: now + pause * spread };
+    fn record_failure(&mut self, now: Millis, server: S) {
+        let jitter = 0.5 + (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
+        if let Some((_, state, failures)) = self.servers.iter_mut().find(|s| s.0 == server) {
+            let delay_ms = self.limits.retry_delay_ms * f64::from(1u32 << (*failures).min(4));
+            *failures += 1;
+            *state = State::Waiting { probe_at: now + delay_ms * jitter };
         }
     }
 
-    fn ask(&mut self, now: Millis, out: &mut Vec<Command<H>>) {
-        let mut asked = self.hosts.iter().filter(|h| matches!(h.1, State::Asked { .. })).count();
-        for (host, state, _) in &mut self.hosts {
-            if asked < self.limits.at_once && matches!(state, State::Waits { from } if *from <= now) {
-                *state = State::Asked { until: now + self.limits.patience_ms };
-                out.push(Command::Ask(*host));
-                asked += 1;
+    fn probe_waiting(&mut self, now: Millis, commands: &mut Vec<Command<S>>) {
+        let mut in_flight = self.servers.iter().filter(|s| matches!(s.1, State::Probing { .. })).count();
+        for (server, state, _) in &mut self.servers {
+            if in_flight < self.limits.max_in_flight
+                && matches!(state, State::Waiting { probe_at } if *probe_at <= now)
+            {
+                *state = State::Probing { deadline: now + self.limits.probe_timeout_ms };
+                commands.push(Command::Probe(*server));
+                in_flight += 1;
             }
         }
     }
 
-    fn enter(&mut self, now: Millis, phase: Phase, out: &mut Vec<Command<H>>) {
-        // No way leads back: what is learnt later is the decisions' own matter.
+    fn enter(&mut self, now: Millis, phase: Phase, commands: &mut Vec<Command<S>>) {
+        // The phase never goes back: later failures are handled by the balancing decisions.
         if phase > self.phase {
-            self.spent.push((self.phase, now - self.since));
-            (self.phase, self.since) = (phase, now);
-            out.push(Command::Phase(phase));
+            self.phase_durations.push((self.phase, now - self.phase_started_at));
+            (self.phase, self.phase_started_at) = (phase, now);
+            commands.push(Command::PhaseChanged(phase));
         }
     }
 
-    /// When [`Event::Due`] is to be fed; `None` if there is nothing to wait for.
+    /// When [`Event::Timeout`] is due; `None` if nothing is pending.
     #[must_use]
-    pub fn due(&self) -> Option<Millis> {
-        let full =
-            self.hosts.iter().filter(|h| matches!(h.1, State::Asked { .. })).count() >= self.limits.at_once;
-        let times = self.hosts.iter().filter_map(|(_, state, _)| match state {
-            State::Asked { until } => Some(*until),
-            State::Waits { from } if !full => Some(*from),
-            State::Waits { .. } | State::In => None,
+    pub fn next_timeout(&self) -> Option<Millis> {
+        let at_limit = self.servers.iter().filter(|s| matches!(s.1, State::Probing { .. })).count()
+            >= self.limits.max_in_flight;
+        let times = self.servers.iter().filter_map(|(_, state, _)| match state {
+            State::Probing { deadline } => Some(*deadline),
+            State::Waiting { probe_at } if !at_limit => Some(*probe_at),
+            State::Waiting { .. } | State::Admitted => None,
         });
         times.min_by(f64::total_cmp)
     }
 
-    /// How far it has come.
+    /// Returns the current phase.
     #[must_use]
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// The phases that are over, and how long each took, in ms.
+    /// Returns the completed phases with their durations in ms.
     #[must_use]
-    pub fn spent(&self) -> &[(Phase, Millis)] {
-        &self.spent
+    pub fn phase_durations(&self) -> &[(Phase, Millis)] {
+        &self.phase_durations
     }
 }
 
@@ -244,112 +264,117 @@
 mod tests {
     use super::*;
 
-    const DAYS: Millis = 3.0 * 86_400_000.0;
+    const THREE_DAYS_MS: Millis = 3.0 * 86_400_000.0;
 
-    fn begun(age: Option<Millis>, hosts: u32, seed: u64) -> (Recovery<u32>, Vec<Command<u32>>) {
-        let (mut recovery, mut out) = (Recovery::new(Limits::default(), seed, 0.0), Vec::new());
-        recovery.begin(0.0, age, (0..hosts).collect(), &mut out);
-        (recovery, out)
+    fn started(age_ms: Option<Millis>, servers: u32, seed: u64) -> (Recovery<u32>, Vec<Command<u32>>) {
+        let (mut recovery, mut commands) = (Recovery::new(Limits::default(), seed, 0.0), Vec::new());
+        recovery.start(0.0, age_ms, (0..servers).collect(), &mut commands);
+        (recovery, commands)
     }
 
-    fn asked(out: &[Command<u32>]) -> Vec<u32> {
-        out.iter().filter_map(|c| if let Command::Ask(host) = c { Some(*host) } else { None }).collect()
+    fn probed(commands: &[Command<u32>]) -> Vec<u32> {
+        commands
+            .iter()
+            .filter_map(|c| if let Command::Probe(server) = c { Some(*server) } else { None })
+            .collect()
     }
 
     #[test]
-    fn a_young_list_is_taken_and_an_old_one_admits_nobody_unasked() {
-        for age in [None, Some(0.0), Some(10_000.0)] {
-            let (recovery, out) = begun(age, 5, 1);
-            assert_eq!(out.iter().filter(|c| matches!(c, Command::Admit(_))).count(), 5);
-            assert_eq!(recovery.phase(), Phase::Listed);
+    fn a_recent_list_is_trusted_and_servers_of_an_old_one_are_probed_first() {
+        for age_ms in [None, Some(0.0), Some(10_000.0)] {
+            let (recovery, commands) = started(age_ms, 5, 1);
+            assert_eq!(commands.iter().filter(|c| matches!(c, Command::Admit(_))).count(), 5);
+            assert_eq!(recovery.phase(), Phase::ListTrusted);
         }
-        // A clock that was set back makes nothing young.
-        for age in [Some(10_001.0), Some(DAYS), Some(-1.0), Some(f64::NAN)] {
-            let (recovery, out) = begun(age, 5, 1);
-            assert!(!out.iter().any(|c| matches!(c, Command::Admit(_))), "{age:?}");
-            assert_eq!((asked(&out).len(), recovery.phase()), (4, Phase::Doubting));
+        // A negative age, as after the clock was set back, is not trusted.
+        for age_ms in [Some(10_001.0), Some(THREE_DAYS_MS), Some(-1.0), Some(f64::NAN)] {
+            let (recovery, commands) = started(age_ms, 5, 1);
+            assert!(!commands.iter().any(|c| matches!(c, Command::Admit(_))), "{age_ms:?}");
+            assert_eq!((probed(&commands).len(), recovery.phase()), (4, Phase::Verifying));
         }
-        let (recovery, out) = begun(Some(DAYS), 0, 1);
-        assert!(out.is_empty() && recovery.phase() == Phase::Blind);
+        let (recovery, commands) = started(Some(THREE_DAYS_MS), 0, 1);
+        assert!(commands.is_empty() && recovery.phase() == Phase::NoList);
     }
 
     #[test]
-    fn who_answers_is_let_in_and_who_does_not_is_asked_again_with_growing_pauses() {
-        let (mut recovery, out) = begun(Some(DAYS), 1, 3);
-        assert_eq!(asked(&out), [0]);
-        let mut pauses = Vec::new();
+    fn a_server_that_answers_is_admitted_and_others_are_probed_again_with_increasing_delays() {
+        let (mut recovery, commands) = started(Some(THREE_DAYS_MS), 1, 3);
+        assert_eq!(probed(&commands), [0]);
+        let mut delays = Vec::new();
         let mut now = 0.0;
         for _ in 0..7 {
-            let (from, mut out) = (now, Vec::new());
-            while asked(&out).is_empty() {
-                now = recovery.due().expect("it goes on asking");
-                recovery.handle(now, Event::Due, &mut out);
+            let (previous, mut commands) = (now, Vec::new());
+            while probed(&commands).is_empty() {
+                now = recovery.next_timeout().expect("another probe is due");
+                recovery.handle(now, Event::Timeout, &mut commands);
             }
-            pauses.push(now - from - 500.0);
+            delays.push(now - previous - 500.0);
         }
         assert!(
-            pauses
+            delays
                 .iter()
                 .zip([1e3, 2e3, 4e3, 8e3, 16e3, 16e3, 16e3])
-                .all(|(p, w)| { (0.5 * w..=1.5 * w).contains(p) }),
-            "{pauses:?}"
+                .all(|(delay, mean)| { (0.5 * mean..=1.5 * mean).contains(delay) }),
+            "{delays:?}"
         );
-        let mut out = Vec::new();
-        recovery.handle(now, Event::Answered { host: 0, there: true }, &mut out);
-        assert_eq!(out, [Command::Admit(0), Command::Phase(Phase::Listed)]);
-        recovery.handle(now, Event::Served, &mut out);
-        assert_eq!((recovery.phase(), recovery.due()), (Phase::Serving, None));
-        assert!((recovery.spent().iter().map(|s| s.1).sum::<f64>() - now).abs() < 1e-9);
+        let mut commands = Vec::new();
+        recovery.handle(now, Event::ProbeCompleted { server: 0, reachable: true }, &mut commands);
+        assert_eq!(commands, [Command::Admit(0), Command::PhaseChanged(Phase::ListTrusted)]);
+        recovery.handle(now, Event::ConnectionEstablished, &mut commands);
+        assert_eq!((recovery.phase(), recovery.next_timeout()), (Phase::Serving, None));
+        assert!((recovery.phase_durations().iter().map(|s| s.1).sum::<f64>() - now).abs() < 1e-9);
     }
 
     #[test]
-    fn an_answer_that_comes_after_its_time_admits_nobody_until_the_host_is_asked_again() {
-        let (mut recovery, _) = begun(Some(DAYS), 1, 3);
-        let mut out = Vec::new();
-        recovery.handle(500.0, Event::Due, &mut out);
-        recovery.handle(501.0, Event::Answered { host: 0, there: true }, &mut out);
-        recovery.handle(501.0, Event::Answered { host: 9, there: true }, &mut out);
-        assert!(out.is_empty(), "{out:?}");
+    fn an_answer_after_the_timeout_does_not_admit_the_server() {
+        let (mut recovery, _) = started(Some(THREE_DAYS_MS), 1, 3);
+        let mut commands = Vec::new();
+        recovery.handle(500.0, Event::Timeout, &mut commands);
+        recovery.handle(501.0, Event::ProbeCompleted { server: 0, reachable: true }, &mut commands);
+        recovery.handle(501.0, Event::ProbeCompleted { server: 9, reachable: true }, &mut commands);
+        assert!(commands.is_empty(), "{commands:?}");
     }
 
     #[test]
-    fn the_list_ends_all_doubt() {
-        let (mut recovery, _) = begun(Some(DAYS), 40, 3);
-        let mut out = Vec::new();
-        recovery.handle(80.0, Event::Listed, &mut out);
-        recovery.handle(90.0, Event::Answered { host: 3, there: true }, &mut out);
-        assert_eq!(out.iter().filter(|c| matches!(c, Command::Admit(_))).count(), 40);
-        assert_eq!((out.len(), out.last()), (41, Some(&Command::Phase(Phase::Listed))));
-        assert_eq!(recovery.due(), None);
+    fn the_list_of_discovery_admits_all_unverified_servers() {
+        let (mut recovery, _) = started(Some(THREE_DAYS_MS), 40, 3);
+        let mut commands = Vec::new();
+        recovery.handle(80.0, Event::ListReceived, &mut commands);
+        recovery.handle(90.0, Event::ProbeCompleted { server: 3, reachable: true }, &mut commands);
+        assert_eq!(commands.iter().filter(|c| matches!(c, Command::Admit(_))).count(), 40);
+        assert_eq!((commands.len(), commands.last()), (41, Some(&Command::PhaseChanged(Phase::ListTrusted))));
+        assert_eq!(recovery.next_timeout(), None);
     }
 
-    /// Balancers that start together, each with this list: questions that one host gets in the worst 100 ms.
-    fn worst(balancers: u64, hosts: u32) -> usize {
-        let mut at = std::collections::BTreeMap::<(u32, u64), usize>::new();
+    /// Returns the most probes that any server receives within 100 ms when all balancers start together with this list.
+    fn peak_probes(balancers: u64, servers: u32) -> usize {
+        let mut probes = std::collections::BTreeMap::<(u32, u64), usize>::new();
         for seed in 0..balancers {
-            let (mut recovery, mut out) = begun(Some(DAYS), hosts, seed);
+            let (mut recovery, mut commands) = started(Some(THREE_DAYS_MS), servers, seed);
             let mut now = 0.0;
-            while recovery.phase() == Phase::Doubting {
-                let asked = asked(&out);
-                out.clear();
-                asked.iter().for_each(|h| *at.entry((*h, (now / 100.0) as u64)).or_default() += 1);
-                // Each answers after 5 ms.
+            while recovery.phase() == Phase::Verifying {
+                let servers_probed = probed(&commands);
+                commands.clear();
+                servers_probed
+                    .iter()
+                    .for_each(|server| *probes.entry((*server, (now / 100.0) as u64)).or_default() += 1);
+                // Each server answers after 5 ms.
                 now += 5.0;
-                for host in asked {
-                    recovery.handle(now, Event::Answered { host, there: true }, &mut out);
+                for server in servers_probed {
+                    recovery.handle(now, Event::ProbeCompleted { server, reachable: true }, &mut commands);
                 }
             }
         }
-        at.into_values().max().unwrap_or_default()
+        probes.into_values().max().unwrap_or_default()
     }
 
     #[test]
-    fn a_fleet_that_starts_together_asks_each_host_once_by_each_and_not_all_the_same_one_first() {
+    fn a_fleet_that_starts_together_spreads_its_probes_over_all_servers() {
         for balancers in [12, 100, 300, 1_000] {
-            let worst = worst(balancers, 300);
-            // Four at once take 5 ms, so 80 of 300 in the worst 100 ms, were they all alike.
-            let even = balancers as f64 * 80.0 / 300.0;
-            assert!((worst as f64) < even + 5.0 * even.sqrt() + 3.0, "{balancers}: {worst} of {even:.0}");
+            let peak = peak_probes(balancers, 300);
+            // Four probes take 5 ms, so each balancer probes 80 of 300 servers within 100 ms.
+            let mean = balancers as f64 * 80.0 / 300.0;
+            assert!((peak as f64) < mean + 5.0 * mean.sqrt() + 3.0, "{balancers}: {peak}, mean {mean:.0}");
         }
     }
 }
--- a/server-state/src/lib.rs
+++ b/server-state/src/lib.rs
@@ -1,343 +1,360 @@
-//! What is known of hosts, how old it is, and whom to ask when a pick is due.
+//! Load reports of servers, their age, and which servers to probe for a pick.
 //!
-//! Where a balancer places a connection every few seconds, a report that was asked for on a clock is
-//! old by the time it is needed. So a pick that is due names the hosts it was drawn, those of whom
-//! too little is known are asked, and the pick goes on once they have answered or its patience ends.
-//! An answer serves a bounded number of picks and for a bounded time: the probe pool of Prequal
+//! Where a balancer places one connection every few seconds, a report that was requested periodically is
+//! stale by the time it is needed. A pick therefore names the servers that were drawn for it; those without
+//! a fresh report are probed, and the pick proceeds once they have answered or its timeout has passed.
+//! A report serves a bounded number of picks and for a bounded time: the probe pool of Prequal
 //! (Wydrowski et al., NSDI 2024), in its synchronous mode where picks are rare.
 //!
-//! No I/O and no clock: [`Knowledge::handle`] takes events with the time they happened at and appends
-//! commands. Generic over how hosts are named, so that it knows nothing of who decides.
+//! The library does no I/O and reads no clock: [`ProbePool::handle`] takes events with the time at which they
+//! happened and appends commands. It is generic over the server key and the report, so that it does not
+//! depend on the balancing decisions.
 //!
 //! ```
-//! use marllink_server_state::{Command, Event, Knowledge, Settings};
+//! use marllink_server_state::{Command, Event, ProbePool, ProbeSettings};
 //!
-//! let mut knowledge = Knowledge::new(Settings::default());
-//! let mut out = Vec::new();
-//! knowledge.handle(0.0, Event::Wanted { pick: 1, hosts: vec!["a", "b"] }, &mut out);
-//! assert_eq!(out[..2], [Command::Ask("a"), Command::Ask("b")]);
-//! out.clear();
-//! knowledge.handle(3.0, Event::Answered { host: "a", report: Some(0.4) }, &mut out);
-//! knowledge.handle(4.0, Event::Answered { host: "b", report: None }, &mut out);
-//! assert_eq!(out, [Command::Go(1)]);
-//! assert_eq!(knowledge.known(4.0, "a"), Some(&0.4));
+//! let mut pool = ProbePool::new(ProbeSettings::default());
+//! let mut commands = Vec::new();
+//! pool.handle(0.0, Event::PickRequested { pick: 1, servers: vec!["a", "b"] }, &mut commands);
+//! assert_eq!(commands[..2], [Command::Probe("a"), Command::Probe("b")]);
+//! commands.clear();
+//! pool.handle(3.0, Event::ProbeCompleted { server: "a", report: Some(0.4) }, &mut commands);
+//! pool.handle(4.0, Event::ProbeCompleted { server: "b", report: None }, &mut commands);
+//! assert_eq!(commands, [Command::Proceed(1)]);
+//! assert_eq!(pool.report(4.0, "a"), Some(&0.4));
 //! ```
 
-mod carrying;
-mod silence;
+mod capacity;
+mod unresponsive;
 
-pub use carrying::{Carrying, Held};
-pub use silence::{Sign, Silence, Verdict};
+pub use capacity::{CapacityEstimate, ServerReport};
+pub use unresponsive::{Symptom, UnresponsiveDetector, Verdict};
 
 use rustc_hash::FxHashMap;
 use std::hash::Hash;
 
-/// Milliseconds, as a point on the caller's monotonic clock or as a span.
+/// Milliseconds, as a point on the caller's monotonic clock or as a duration.
 pub type Millis = f64;
 
-/// How much is asked, and how long for what.
+/// Limits on the rate of probes and the age of reports.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Settings {
-    /// An answer younger than this, in ms, spares a question ...
+pub struct ProbeSettings {
+    /// A report younger than this, in ms, makes another probe unnecessary, within [`Self::max_uses`].
     pub fresh_ms: Millis,
-    /// ... unless it has served so many picks: each of them has made it less true.
-    pub most_uses: u32,
-    /// An answer says nothing any more after so many ms.
-    pub forget_ms: Millis,
-    /// A pick waits for so many ms at most.
-    pub patience_ms: Millis,
-    /// A question without an answer is given up after so many ms.
-    pub lost_ms: Millis,
-    /// Questions out at once, over all hosts.
-    pub most_out: usize,
-    /// A host that has not answered is not asked again for so many ms.
-    pub mute_ms: Millis,
-    /// A review asks hosts of whom nothing is known that is younger than so many ms ...
-    pub review_ms: Millis,
-    /// ... so many at a time: the first answers would else come all at once ...
-    pub reviewed: usize,
-    /// ... as far as that has been paid for, so much each time ...
-    pub paid: f64,
-    /// ... of which so much is saved up.
-    pub most_paid: f64,
+    /// Number of picks that a fresh report serves: each pick changes the load that was reported.
+    pub max_uses: u32,
+    /// Age in ms after which a report is ignored.
+    pub max_age_ms: Millis,
+    /// Maximum time that a pick waits for probes, in ms.
+    pub pick_timeout_ms: Millis,
+    /// Time in ms after which an unanswered probe counts as lost.
+    pub probe_timeout_ms: Millis,
+    /// Maximum number of unanswered probes over all servers.
+    pub max_in_flight: usize,
+    /// Time in ms during which a server is not probed again after a failed probe.
+    pub backoff_ms: Millis,
+    /// A refresh probes servers whose report is at least this old, in ms.
+    pub refresh_age_ms: Millis,
+    /// Maximum number of servers that one refresh probes, so that the first reports do not arrive all at once.
+    pub refresh_batch: usize,
+    /// Credit for refresh probes that each [`Event::RefreshCredited`] adds; a probe costs 1.
+    pub credit_per_event: f64,
+    /// Maximum credit that accumulates.
+    pub max_credit: f64,
 }
 
-impl Default for Settings {
+impl Default for ProbeSettings {
     fn default() -> Self {
         Self {
             fresh_ms: 700.0,
-            most_uses: 3,
-            forget_ms: 5_000.0,
-            patience_ms: 80.0,
-            lost_ms: 1_500.0,
-            most_out: 64,
-            mute_ms: 2_000.0,
-            review_ms: 1_200.0,
-            reviewed: 2,
-            paid: 0.6,
-            most_paid: 8.0,
+            max_uses: 3,
+            max_age_ms: 5_000.0,
+            pick_timeout_ms: 80.0,
+            probe_timeout_ms: 1_500.0,
+            max_in_flight: 64,
+            backoff_ms: 2_000.0,
+            refresh_age_ms: 1_200.0,
+            refresh_batch: 2,
+            credit_per_event: 0.6,
+            max_credit: 8.0,
         }
     }
 }
 
-/// Something that happened.
+/// Input of [`ProbePool::handle`].
 #[derive(Clone, Debug, PartialEq)]
-pub enum Event<H, R> {
-    /// A pick is due among these hosts. Its number must not be that of a pick still waiting.
-    Wanted {
-        /// By this number it is told to go on.
+pub enum Event<S, R> {
+    /// A pick among these servers is due. Its id must differ from those of all waiting picks.
+    PickRequested {
+        /// Identifies the pick in [`Command::Proceed`].
         pick: u64,
-        /// Those drawn.
-        hosts: Vec<H>,
+        /// The servers drawn for the pick.
+        servers: Vec<S>,
     },
-    /// A host was asked and has answered, or `None` if that failed.
-    Answered {
-        /// Which.
-        host: H,
-        /// What it said.
+    /// A probe was answered, or failed.
+    ProbeCompleted {
+        /// The probed server.
+        server: S,
+        /// The report, or `None` if the probe failed.
         report: Option<R>,
     },
-    /// A pick has used what is known of a host.
-    Used(H),
-    /// A pick that waits is not wanted any more.
-    Withdrawn(u64),
-    /// Something has come about that pays for questions of a review: a set-up, say. So what is asked
-    /// over a fleet grows with what it does and not with its size.
-    Paid,
-    /// These hosts matter though no pick is due: those that hold own connections, say.
-    Review(Vec<H>),
-    /// Something speaks against this host: it is asked if that tells more than is known, without being paid.
-    Doubted(H),
-    /// A host is gone: nothing is known of it, and nobody waits for it any longer than until the next
-    /// answer or [`Event::Due`]. Gives no command.
-    Gone(H),
-    /// Time has passed; to come at [`Knowledge::due`] or somewhat later.
-    Due,
+    /// A pick was decided by the report of this server.
+    ReportUsed(S),
+    /// The pick with this id was cancelled.
+    PickCancelled(u64),
+    /// Adds credit for refresh probes, for example when a connection is established. The number of refresh
+    /// probes over a fleet then grows with its traffic, not with its size.
+    RefreshCredited,
+    /// Refreshes the reports of these servers independently of any pick, for example those with own
+    /// connections.
+    Refresh(Vec<S>),
+    /// This server may be unresponsive: probes it without spending credit, unless a probe is unnecessary.
+    Suspected(S),
+    /// The server was removed: forgets its report. Picks that wait for it alone proceed at the next
+    /// [`Event::ProbeCompleted`] or [`Event::Timeout`]; this event appends no command.
+    Removed(S),
+    /// The time of [`ProbePool::next_timeout`] was reached; may be delivered somewhat later.
+    Timeout,
 }
 
-/// Something to be done, in the order written.
+/// Output of [`ProbePool::handle`], to be carried out in order.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Command<H> {
-    /// Ask this host for its load; [`Event::Answered`] is to follow, sooner or later or never.
-    Ask(H),
-    /// This pick goes on with what is known.
-    Go(u64),
+pub enum Command<S> {
+    /// Probe this server for its load. [`Event::ProbeCompleted`] may follow at any time, or never.
+    Probe(S),
+    /// The pick with this id proceeds with the reports at hand.
+    Proceed(u64),
 }
 
 #[derive(Clone, Debug)]
-struct Host<R> {
-    /// What it last said, and when.
-    told: Option<(Millis, R)>,
+struct ServerEntry<R> {
+    /// The last report, with the time at which it arrived.
+    last_report: Option<(Millis, R)>,
     uses: u32,
-    /// When it was asked, if it has not answered yet.
-    asked_at: Option<Millis>,
-    /// It is not asked before that.
-    mute_until: Millis,
+    /// When the unanswered probe was sent, if there is one.
+    probed_at: Option<Millis>,
+    /// No probe is sent before this time.
+    backoff_until: Millis,
 }
 
 #[derive(Clone, Debug)]
-struct Waiting<H> {
+struct WaitingPick<S> {
     pick: u64,
-    until: Millis,
-    hosts: Vec<H>,
+    deadline: Millis,
+    servers: Vec<S>,
 }
 
-/// What one balancer knows of hosts. Feed [`Event::Wanted`] when a pick is due and wait for
-/// [`Command::Go`], which may come in the same call; then read [`Knowledge::known`] and say
-/// [`Event::Used`] of the hosts whose figures decided.
+/// The load reports that one balancer holds. Feed [`Event::PickRequested`] when a pick is due and wait for
+/// [`Command::Proceed`], which may come in the same call. Then read [`ProbePool::report`] and feed
+/// [`Event::ReportUsed`] for the servers whose reports decided the pick.
 #[derive(Clone, Debug)]
-pub struct Knowledge<H, R> {
-    settings: Settings,
-    hosts: FxHashMap<H, Host<R>>,
-    waiting: Vec<Waiting<H>>,
-    out: usize,
-    paid: f64,
+pub struct ProbePool<S, R> {
+    settings: ProbeSettings,
+    servers: FxHashMap<S, ServerEntry<R>>,
+    waiting: Vec<WaitingPick<S>>,
+    in_flight: usize,
+    refresh_credit: f64,
 }
 
-impl<H: Copy + Eq + Hash, R> Knowledge<H, R> {
-    /// Nothing known yet.
+impl<S: Copy + Eq + Hash, R> ProbePool<S, R> {
+    /// Creates a pool without reports.
     #[must_use]
-    pub fn new(settings: Settings) -> Self {
-        Self { settings, hosts: FxHashMap::default(), waiting: Vec::new(), out: 0, paid: 0.0 }
+    pub fn new(settings: ProbeSettings) -> Self {
+        Self {
+            settings,
+            servers: FxHashMap::default(),
+            waiting: Vec::new(),
+            in_flight: 0,
+            refresh_credit: 0.0,
+        }
     }
 
-    /// Takes one event at `now` and appends what is to be done.
-    pub fn handle(&mut self, now: Millis, event: Event<H, R>, commands: &mut Vec<Command<H>>) {
+    /// Handles an event that happened at `now` and appends the resulting commands.
+    pub fn handle(&mut self, now: Millis, event: Event<S, R>, commands: &mut Vec<Command<S>>) {
         match event {
-            Event::Wanted { pick, hosts } => self.want(now, pick, hosts, commands),
-            Event::Answered { host, report } => {
-                self.answer(now, host, report);
-                self.heard(host, commands);
+            Event::PickRequested { pick, servers } => self.request_pick(now, pick, servers, commands),
+            Event::ProbeCompleted { server, report } => {
+                self.record_result(now, server, report);
+                self.resolve_waiting(server, commands);
             }
-            Event::Used(host) => {
-                if let Some(host) = self.hosts.get_mut(&host) {
-                    host.uses += 1;
+            Event::ReportUsed(server) => {
+                if let Some(server) = self.servers.get_mut(&server) {
+                    server.uses += 1;
                 }
             }
-            Event::Paid => self.paid = (self.paid + self.settings.paid).min(self.settings.most_paid),
-            Event::Review(hosts) => self.review(now, hosts, commands),
-            Event::Doubted(host) => {
-                self.ask(now, host, commands);
+            Event::RefreshCredited => {
+                self.refresh_credit =
+                    (self.refresh_credit + self.settings.credit_per_event).min(self.settings.max_credit)
+            }
+            Event::Refresh(servers) => self.refresh(now, servers, commands),
+            Event::Suspected(server) => {
+                self.probe(now, server, commands);
             }
-            Event::Withdrawn(pick) => self.waiting.retain(|waiting| waiting.pick != pick),
-            Event::Gone(host) => {
-                if self.hosts.remove(&host).is_some_and(|h| h.asked_at.is_some()) {
-                    self.out -= 1;
+            Event::PickCancelled(pick) => self.waiting.retain(|waiting| waiting.pick != pick),
+            Event::Removed(server) => {
+                if self.servers.remove(&server).is_some_and(|s| s.probed_at.is_some()) {
+                    self.in_flight -= 1;
                 }
-                // Who waited for it alone goes on at the next word: whoever says that a host is gone may
-                // be in the middle of a list, and cannot take commands.
-                self.waiting.iter_mut().for_each(|waiting| waiting.hosts.retain(|h| *h != host));
+                // Picks that waited for this server alone proceed at the next event: a caller that removes
+                // servers while it walks a list cannot carry out commands.
+                self.waiting.iter_mut().for_each(|waiting| waiting.servers.retain(|s| *s != server));
             }
-            Event::Due => self.pass(now, commands),
+            Event::Timeout => self.expire(now, commands),
         }
     }
 
-    /// When [`Event::Due`] is to come; `None` as long as no pick waits.
+    /// When [`Event::Timeout`] is due; `None` while no pick waits.
     #[must_use]
-    pub fn due(&self) -> Option<Millis> {
-        self.waiting.iter().map(|waiting| waiting.until).reduce(f64::min)
+    pub fn next_timeout(&self) -> Option<Millis> {
+        self.waiting.iter().map(|waiting| waiting.deadline).reduce(f64::min)
     }
 
-    /// What a host last said, unless that is too old to say anything.
+    /// Returns the last report of a server, unless it is older than [`ProbeSettings::max_age_ms`].
     #[must_use]
-    pub fn known(&self, now: Millis, host: H) -> Option<&R> {
-        let (at, report) = self.hosts.get(&host)?.told.as_ref()?;
-        (now - at <= self.settings.forget_ms).then_some(report)
+    pub fn report(&self, now: Millis, server: S) -> Option<&R> {
+        let (at, report) = self.servers.get(&server)?.last_report.as_ref()?;
+        (now - at <= self.settings.max_age_ms).then_some(report)
     }
 
-    /// All that hosts have said and that is not too old, each with when it came: for a successor.
+    /// Returns all reports that are not too old, each with its time of arrival, for a handover.
     #[must_use]
-    pub fn told(&self, now: Millis) -> Vec<(H, Millis, R)>
+    pub fn recent_reports(&self, now: Millis) -> Vec<(S, Millis, R)>
     where
         R: Clone,
     {
-        let told =
-            self.hosts.iter().filter_map(|(host, h)| h.told.as_ref().map(|t| (*host, t.0, t.1.clone())));
-        told.filter(|(_, at, _)| now - at <= self.settings.forget_ms).collect()
+        let reports = self
+            .servers
+            .iter()
+            .filter_map(|(server, s)| s.last_report.as_ref().map(|r| (*server, r.0, r.1.clone())));
+        reports.filter(|(_, at, _)| now - at <= self.settings.max_age_ms).collect()
     }
 
-    /// Takes over what a host has told a predecessor, at that time.
-    pub fn learn(&mut self, at: Millis, host: H, report: R) {
-        self.entry(host).told = Some((at, report));
+    /// Restores a report that a predecessor received at time `at`.
+    pub fn restore(&mut self, at: Millis, server: S, report: R) {
+        self.entry(server).last_report = Some((at, report));
     }
 
-    fn entry(&mut self, host: H) -> &mut Host<R> {
-        let nothing = || Host { told: None, uses: 0, asked_at: None, mute_until: f64::NEG_INFINITY };
-        self.hosts.entry(host).or_insert_with(nothing)
+    fn entry(&mut self, server: S) -> &mut ServerEntry<R> {
+        let empty =
+            || ServerEntry { last_report: None, uses: 0, probed_at: None, backoff_until: f64::NEG_INFINITY };
+        self.servers.entry(server).or_insert_with(empty)
     }
 
-    /// How old, in ms, what a host last said is.
+    /// Returns the age of a server's last report, in ms.
     #[must_use]
-    pub fn age(&self, now: Millis, host: H) -> Option<Millis> {
-        self.hosts.get(&host)?.told.as_ref().map(|told| now - told.0)
+    pub fn report_age(&self, now: Millis, server: S) -> Option<Millis> {
+        self.servers.get(&server)?.last_report.as_ref().map(|report| now - report.0)
     }
 
-    /// True if this host has been asked and has failed to answer, or is slower than a pick waits: that
-    /// speaks against it as long as others answer.
+    /// Returns whether the last probe of this server failed or has waited for longer than a pick does. This
+    /// speaks against the server only while others answer.
     #[must_use]
-    pub fn mute(&self, now: Millis, host: H) -> bool {
-        let Some(host) = self.hosts.get(&host) else { return false };
-        let slow = |asked: Millis| now - asked >= self.settings.patience_ms - 0.5;
-        now < host.mute_until || host.asked_at.is_some_and(slow)
+    pub fn is_unresponsive(&self, now: Millis, server: S) -> bool {
+        let Some(server) = self.servers.get(&server) else { return false };
+        let slow = |probed_at: Millis| now - probed_at >= self.settings.pick_timeout_ms - 0.5;
+        now < server.backoff_until || server.probed_at.is_some_and(slow)
     }
 
-    /// True if asking this host now would tell more than is known, and may be done.
+    /// Returns whether a probe is permitted now and would yield more than the report at hand.
     #[must_use]
-    pub fn worth_asking(&self, now: Millis, host: H) -> bool {
-        let Some(host) = self.hosts.get(&host) else { return true };
-        let fresh = host.told.as_ref().is_some_and(|told| now - told.0 < self.settings.fresh_ms);
-        now >= host.mute_until
-            && !(fresh && host.uses < self.settings.most_uses)
-            && host.asked_at.is_none_or(|asked| now - asked > self.settings.lost_ms)
+    pub fn should_probe(&self, now: Millis, server: S) -> bool {
+        let Some(server) = self.servers.get(&server) else { return true };
+        let fresh = server.last_report.as_ref().is_some_and(|report| now - report.0 < self.settings.fresh_ms);
+        now >= server.backoff_until
+            && !(fresh && server.uses < self.settings.max_uses)
+            && server.probed_at.is_none_or(|probed_at| now - probed_at > self.settings.probe_timeout_ms)
     }
 
-    /// Asks a host though no pick is due, if that tells more than is known. True if it is asked.
-    pub fn ask(&mut self, now: Millis, host: H, commands: &mut Vec<Command<H>>) -> bool {
-        if !self.worth_asking(now, host) {
+    /// Probes a server independently of any pick, if [`Self::should_probe`] and the limit on probes in flight
+    /// permit. Returns whether a probe is sent.
+    pub fn probe(&mut self, now: Millis, server: S, commands: &mut Vec<Command<S>>) -> bool {
+        if !self.should_probe(now, server) {
             return false;
         }
-        if self.out >= self.settings.most_out {
-            self.give_up_lost(now);
-            if self.out >= self.settings.most_out {
+        if self.in_flight >= self.settings.max_in_flight {
+            self.expire_probes(now);
+            if self.in_flight >= self.settings.max_in_flight {
                 return false;
             }
         }
-        let entry = self.entry(host);
-        if entry.asked_at.replace(now).is_none() {
-            self.out += 1;
+        let entry = self.entry(server);
+        if entry.probed_at.replace(now).is_none() {
+            self.in_flight += 1;
         }
-        commands.push(Command::Ask(host));
+        commands.push(Command::Probe(server));
         true
     }
 
-    fn want(&mut self, now: Millis, pick: u64, mut hosts: Vec<H>, commands: &mut Vec<Command<H>>) {
-        for host in &hosts {
-            self.ask(now, *host, commands);
+    fn request_pick(&mut self, now: Millis, pick: u64, mut servers: Vec<S>, commands: &mut Vec<Command<S>>) {
+        for server in &servers {
+            self.probe(now, *server, commands);
         }
-        hosts.retain(|host| self.hosts.get(host).is_some_and(|h| h.asked_at.is_some()));
-        if hosts.is_empty() {
-            commands.push(Command::Go(pick));
+        servers.retain(|server| self.servers.get(server).is_some_and(|s| s.probed_at.is_some()));
+        if servers.is_empty() {
+            commands.push(Command::Proceed(pick));
         } else {
-            self.waiting.push(Waiting { pick, until: now + self.settings.patience_ms, hosts });
+            self.waiting.push(WaitingPick { pick, deadline: now + self.settings.pick_timeout_ms, servers });
         }
     }
 
-    /// Asks the hosts of whom what is known is oldest.
-    fn review(&mut self, now: Millis, hosts: Vec<H>, commands: &mut Vec<Command<H>>) {
-        let age = |host: H| self.age(now, host).unwrap_or(f64::INFINITY);
-        let mut due: Vec<_> = hosts.into_iter().map(|host| (age(host), host)).collect();
-        // One that was asked already must not keep the others from being asked.
-        due.retain(|(age, host)| *age >= self.settings.review_ms && self.worth_asking(now, *host));
-        due.sort_by(|a, b| b.0.total_cmp(&a.0));
-        for (_, host) in due.into_iter().take(self.settings.reviewed) {
-            if self.paid >= 1.0 && self.ask(now, host, commands) {
-                self.paid -= 1.0;
+    /// Probes the servers with the oldest reports.
+    fn refresh(&mut self, now: Millis, servers: Vec<S>, commands: &mut Vec<Command<S>>) {
+        let age = |server: S| self.report_age(now, server).unwrap_or(f64::INFINITY);
+        let mut stale: Vec<_> = servers.into_iter().map(|server| (age(server), server)).collect();
+        // Servers that must not be probed now are left out, so that they do not take slots of the batch.
+        stale.retain(|(age, server)| *age >= self.settings.refresh_age_ms && self.should_probe(now, *server));
+        stale.sort_by(|a, b| b.0.total_cmp(&a.0));
+        for (_, server) in stale.into_iter().take(self.settings.refresh_batch) {
+            if self.refresh_credit >= 1.0 && self.probe(now, server, commands) {
+                self.refresh_credit -= 1.0;
             }
         }
     }
 
-    fn answer(&mut self, now: Millis, host: H, report: Option<R>) {
-        // One that was not asked, or is gone since, has nothing to say.
-        let Some(entry) = self.hosts.get_mut(&host) else { return };
-        if entry.asked_at.take().is_some() {
-            self.out -= 1;
+    fn record_result(&mut self, now: Millis, server: S, report: Option<R>) {
+        // Ignores the result of a server that was removed since, or never probed.
+        let Some(entry) = self.servers.get_mut(&server) else { return };
+        if entry.probed_at.take().is_some() {
+            self.in_flight -= 1;
         }
         match report {
-            Some(report) => (entry.told, entry.uses) = (Some((now, report)), 0),
-            // What it said before may still be true; it only can't be had anew for a while.
-            None => entry.mute_until = now + self.settings.mute_ms,
+            Some(report) => (entry.last_report, entry.uses) = (Some((now, report)), 0),
+            // Keeps the previous report, which may still hold, and pauses probes.
+            None => entry.backoff_until = now + self.settings.backoff_ms,
         }
     }
 
-    /// Nobody waits for this host any more.
-    fn heard(&mut self, host: H, commands: &mut Vec<Command<H>>) {
+    /// Removes the server from all waiting picks and lets those proceed that wait for no other.
+    fn resolve_waiting(&mut self, server: S, commands: &mut Vec<Command<S>>) {
         self.waiting.retain_mut(|waiting| {
-            waiting.hosts.retain(|h| *h != host);
-            if waiting.hosts.is_empty() {
-                commands.push(Command::Go(waiting.pick));
+            waiting.servers.retain(|s| *s != server);
+            if waiting.servers.is_empty() {
+                commands.push(Command::Proceed(waiting.pick));
             }
-            !waiting.hosts.is_empty()
+            !waiting.servers.is_empty()
         });
     }
 
-    fn pass(&mut self, now: Millis, commands: &mut Vec<Command<H>>) {
-        // Timers are rounded: what is due within the rounding is due.
+    fn expire(&mut self, now: Millis, commands: &mut Vec<Command<S>>) {
+        // Timers are rounded: a deadline within half a millisecond counts as reached.
         self.waiting.retain(|waiting| {
-            let over = waiting.until <= now + 0.5 || waiting.hosts.is_empty();
+            let over = waiting.deadline <= now + 0.5 || waiting.servers.is_empty();
             if over {
-                commands.push(Command::Go(waiting.pick));
+                commands.push(Command::Proceed(waiting.pick));
             }
             !over
         });
-        self.give_up_lost(now);
+        self.expire_probes(now);
     }
 
-    fn give_up_lost(&mut self, now: Millis) {
-        let lost = |h: &Host<R>| h.asked_at.is_some_and(|asked| now - asked > self.settings.lost_ms);
-        for host in self.hosts.values_mut().filter(|h| lost(h)) {
-            host.asked_at = None;
-            host.mute_until = now + self.settings.mute_ms;
-            self.out -= 1;
+    fn expire_probes(&mut self, now: Millis) {
+        let lost = |server: &ServerEntry<R>| {
+            server.probed_at.is_some_and(|probed_at| now - probed_at > self.settings.probe_timeout_ms)
+        };
+        for server in self.servers.values_mut().filter(|s| lost(s)) {
+            server.probed_at = None;
+            server.backoff_until = now + self.settings.backoff_ms;
+            self.in_flight -= 1;
         }
     }
 }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -8,7 +8,8 @@
 pub use parts::{Part, parts};
 
 use marllink::{
-    Class, Discovery, Effect, KeyScope, Limits, NodeId, Prices, ReportField, Rules, Settings, Tenant, ZoneId,
+    Class, DedupScope, Discovery, Idempotency, Limits, NodeId, Prices, ReportField, Rules, Settings, Tenant,
+    ZoneId,
 };
 use serde::Deserialize;
 use serde_json::Value;
@@ -350,19 +351,19 @@
     Parsed { decisions, names, tells_delay, longest_deadline_ms }
 }
 
-fn effect(class: &BootClass) -> Effect {
+fn effect(class: &BootClass) -> Idempotency {
     match class.semantics.as_str() {
-        "repeatable" => Effect::Safe,
+        "repeatable" => Idempotency::Safe,
         "by_key" => {
             let scope = match class.dedup_scope.as_str() {
-                "all" => KeyScope::All,
-                "zone" => KeyScope::Zone,
-                _ => KeyScope::Cell,
+                "all" => DedupScope::All,
+                "zone" => DedupScope::Zone,
+                _ => DedupScope::Cell,
             };
-            Effect::Keyed { scope, window_ms: class.repeat_window_ms }
+            Idempotency::Keyed { scope, window_ms: class.repeat_window_ms }
         }
         // A word that is not known promises nothing.
-        _ => Effect::Unsafe,
+        _ => Idempotency::Unsafe,
     }
 }
 
@@ -397,7 +398,7 @@
         assert_eq!(number(&next), [None, Some(1), Some(2)]);
         let worths: Vec<_> = next.decisions.classes.iter().map(|c| c.worth).collect();
         assert_eq!((worths, next.decisions.limits.max_attempts), (vec![3.0, 7.0, 3.0], 2));
-        assert_eq!(next.decisions.classes[2].effect, Effect::Unsafe);
+        assert_eq!(next.decisions.classes[2].effect, Idempotency::Unsafe);
         // What has vanished may come back, under its old number.
         let back = from_value(settings()).expect("it is sound").follow(&next);
         assert_eq!(number(&back), [Some(0), Some(1), None]);
--- a/settings/src/parts.rs
+++ b/settings/src/parts.rs
@@ -1,7 +1,7 @@
 //! Which parts of the decisions are in force under some settings, and which are off and why.
 
 use crate::Parsed;
-use marllink::{Discovery, Effect, Settings};
+use marllink::{Discovery, Idempotency, Settings};
 use serde::Serialize;
 
 /// A part of the decisions.
@@ -141,7 +141,7 @@
 /// What follows an attempt that failed.
 fn again(settings: &Settings) -> Vec<Part> {
     let attempts = settings.limits.max_attempts;
-    let once = settings.classes.iter().filter(|c| c.effect == Effect::Unsafe).count();
+    let once = settings.classes.iter().filter(|c| c.effect == Idempotency::Unsafe).count();
     let classes = settings.classes.len();
     vec![
         part(
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -9,11 +9,13 @@
 
 use crate::interface::*;
 use crate::variant::{Plant, Variant};
-use marllink_admission::Shares;
-use marllink_affinity::Sizes;
-use marllink_rate_limits::{Pace, Rate, Shortage, by_share, relief, whole};
-use marllink_retries::{Limiter, Ran};
-use marllink_server_state::{Command, Event as Asked, Held, Silence, Verdict};
+use marllink_admission::TenantShares;
+use marllink_affinity::GroupSizes;
+use marllink_rate_limits::{
+    ConnectionLimit, Rate, SlowStartRate, choose_weighted, round_stochastic, select_to_shed,
+};
+use marllink_retries::{Limiter, PossibleExecution};
+use marllink_server_state::{Command, Event as Asked, ServerReport, UnresponsiveDetector, Verdict};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use rand_xoshiro::rand_core::{Rng, SeedableRng};
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -161,7 +163,7 @@
     attempts: u8,
     /// Microseconds of work a second, once told.
     load: f64,
-    ran: Option<Ran>,
+    ran: Option<PossibleExecution>,
 }
 
 /// The decisions of one node.
@@ -188,13 +190,13 @@
     /// What a successor is told of the fleet.
     fleet: Fleet,
     /// What servers have said of their load, and which picks wait for that.
-    reports: marllink_server_state::Knowledge<ServerId, Told>,
-    silence: Silence<ServerId>,
+    reports: marllink_server_state::ProbePool<ServerId, Told>,
+    silence: UnresponsiveDetector<ServerId>,
     retries: Limiter,
     burst: Rate,
-    shares: Shares,
+    shares: TenantShares,
     /// Connections seen by group.
-    groups: Sizes,
+    groups: GroupSizes,
     variant: Variant,
     /// Own connections, a predecessor's among them.
     total: usize,
@@ -219,12 +221,12 @@
     pub fn varied(settings: Settings, seed: u64, now: Millis, variant: Variant) -> Self {
         Self {
             slow_aim: settings.slow_aim(),
-            reports: marllink_server_state::Knowledge::new(settings.asking()),
-            silence: Silence::default(),
+            reports: marllink_server_state::ProbePool::new(settings.asking()),
+            silence: UnresponsiveDetector::default(),
             retries: Limiter::new(variant.retries.clone(), settings.nodes, now),
             burst: Rate::new(BURST_TAU_MS, now),
-            shares: Shares::new(settings.quotas(), settings.nodes),
-            groups: Sizes::default(),
+            shares: TenantShares::new(settings.quotas(), settings.nodes),
+            groups: GroupSizes::default(),
             variant,
             settings,
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
@@ -244,7 +246,7 @@
             held: Vec::new(),
             fleet: Fleet {
                 rate: Rate::new(RATE_TAU_MS, now),
-                shortage: Shortage::new(now),
+                shortage: ConnectionLimit::new(now),
                 ..Fleet::default()
             },
             total: 0,
@@ -271,8 +273,8 @@
             Event::Maintenance { server, begins } => self.on_maintenance(server, begins, out),
             Event::Settings(settings) => {
                 self.slow_aim = settings.slow_aim();
-                self.retries.among(settings.nodes);
-                self.shares.retune(settings.quotas(), settings.nodes);
+                self.retries.set_balancer_count(settings.nodes);
+                self.shares.update_quotas(settings.quotas(), settings.nodes);
                 self.settings = settings;
             }
             Event::TakeOver(knowledge) => self.take_over(knowledge),
@@ -298,7 +300,7 @@
             Event::ClientGone(request) => self.on_client_gone(request, out),
             Event::AnswerNow(request) => self.answer_now(request, out),
             Event::ProbeResult { server, ok, report } => self.on_report(server, ok, &report, out),
-            Event::Timer(PATIENCE) => self.ask(Asked::Due, out),
+            Event::Timer(PATIENCE) => self.ask(Asked::Timeout, out),
             Event::Timer(_) | Event::PeerMessage { .. } => {}
         }
     }
@@ -367,7 +369,7 @@
         let others = self.ready_weight - weight;
         let mean = if others > 0.0 { (self.ready_open - open).max(0.0) / others * weight } else { 0.0 };
         let count = mean * (1.0 - warmth) + open * warmth;
-        whole(count * self.least / weight, self.uniform()) as f64 / self.least
+        round_stochastic(count * self.least / weight, self.uniform()) as f64 / self.least
     }
 
     /// Zone credit: where crossing zones has a price, servers of the own zone count as holding some
@@ -406,7 +408,7 @@
                     let credit = known.map_or(0.0, |at| {
                         GROUP_CREDIT * GROUP_FADE.powi((at + 1).saturating_sub(wide) as i32)
                     }) + if prefers { self.zone_credit(slot) } else { 0.0 };
-                    let mute = self.reports.mute(self.now, self.servers[slot].id);
+                    let mute = self.reports.is_unresponsive(self.now, self.servers[slot].id);
                     drawn.push((self.load(slot) + if mute { MUTE } else { -credit }, slot));
                 }
             }
@@ -436,7 +438,7 @@
         let weight = |d: &&(f64, usize)| if group == 0 { self.servers[d.1].weight } else { 1.0 };
         let weights: Vec<_> = drawn.iter().map(weight).collect();
         // One that is chosen twice stays so: it is asked once, and has two chances.
-        (0..ASKED).filter_map(|_| by_share(&weights, self.uniform())).map(|at| drawn[at].1).collect()
+        (0..ASKED).filter_map(|_| choose_weighted(&weights, self.uniform())).map(|at| drawn[at].1).collect()
     }
 
     /// The hosts where a group goes first, in the order in which all nodes find them, and how many of
@@ -446,9 +448,9 @@
             return (Vec::new(), 0);
         }
         let uniform = self.uniform();
-        let wide = self.groups.width(group, self.pickable.len(), uniform);
+        let wide = self.groups.server_count(group, self.pickable.len(), uniform);
         let of = |slot: &usize| (self.servers[*slot].id.0, self.servers[*slot].weight, *slot);
-        (marllink_affinity::first(group, self.pickable.iter().map(of), wide + GROUP_MORE), wide)
+        (marllink_affinity::top_servers(group, self.pickable.iter().map(of), wide + GROUP_MORE), wide)
     }
 
     /// The pick among them: by chance in proportion to the square of the room that they have. The one with
@@ -456,16 +458,16 @@
     fn pick(&mut self, pending: &Pending) -> Option<usize> {
         let room = |slot: &usize| {
             let (slot, id) = (*slot, self.servers[*slot].id);
-            let mute = pending.redrawn < MORE_DRAWS && self.reports.mute(self.now, id);
+            let mute = pending.redrawn < MORE_DRAWS && self.reports.is_unresponsive(self.now, id);
             if self.servers[slot].place == NOWHERE || mute || !self.may_run_on(pending, slot) {
                 return 0.0;
             }
-            let known = self.reports.known(self.now, id).is_some();
+            let known = self.reports.report(self.now, id).is_some();
             let load = if known { self.load_now(slot) } else { UNKNOWN_LOAD };
             if load >= BUSY_LOAD { 0.0 } else { (OVER_LOAD - load).powi(2) }
         };
         let rooms: Vec<_> = pending.drawn.iter().map(room).collect();
-        by_share(&rooms, self.uniform()).map(|at| pending.drawn[at])
+        choose_weighted(&rooms, self.uniform()).map(|at| pending.drawn[at])
     }
 
     /// First back: a server that the operators have put back gets one connection without a draw. They
@@ -535,19 +537,19 @@
     }
 
     /// A server that has fallen silent serves nobody: its clients find another sooner than it comes back.
-    fn on_silent(&mut self, id: ServerId, sign: Sign, out: &mut Vec<Action>) {
+    fn on_silent(&mut self, id: ServerId, sign: Symptom, out: &mut Vec<Action>) {
         let Some(&slot) = self.index.get(&id) else { return };
-        match self.silence.note(self.now, id, sign) {
-            Verdict::Silent => {
+        match self.silence.record(self.now, id, sign) {
+            Verdict::Unresponsive => {
                 let (zone, own) = (self.servers[slot].zone, self.servers[slot].connections.clone());
                 self.move_these(slot, own, out);
                 self.on_failure(slot, self.ready.saturating_sub(1));
                 let near = self.servers.iter().filter(|s| s.zone == zone && !s.connections.is_empty());
                 let near: Vec<_> = near.map(|s| s.id).collect();
-                near.into_iter().for_each(|id| self.on_silent(id, Sign::Neighbour, out));
+                near.into_iter().for_each(|id| self.on_silent(id, Symptom::NeighbourUnresponsive, out));
             }
-            Verdict::Doubtful if self.may_ask() => self.ask(Asked::Doubted(id), out),
-            Verdict::Doubtful | Verdict::Nothing => {}
+            Verdict::Suspect if self.may_ask() => self.ask(Asked::Suspected(id), out),
+            Verdict::Suspect | Verdict::Unchanged => {}
         }
     }
 
@@ -560,9 +562,10 @@
         }
         let slot = pending.slot;
         let server = &mut self.servers[slot];
-        let excess = server.track.strain.note(self.now, delay_ms, self.slow_aim, f64::from(server.open));
+        let excess =
+            server.track.strain.record_delay(self.now, delay_ms, self.slow_aim, f64::from(server.open));
         let planted = self.variant.plant == Some(Plant::MoveWhenAllSlow);
-        self.move_some(slot, if planted { excess / marllink_rebalancing::MOVED_SHARE } else { excess }, out);
+        self.move_some(slot, if planted { excess / marllink_rebalancing::MOVED_RATIO } else { excess }, out);
     }
 
     /// True if a server must take nothing new: messages on it are slow, or it is at its limit.
@@ -572,8 +575,10 @@
         let mean = self.ready_open / self.warm_weight.max(f64::MIN_POSITIVE) * s.weight;
         let bound = if self.may_ask() { NO_LIMIT } else { MEAN_BOUND * mean + 1.0 };
         // Between whole numbers they hold on the mean over nodes and tries.
-        let room = s.track.strain.limit(self.now).min(bound) + some;
-        s.track.strain.hot(self.now) || self.load_now(slot) >= BUSY_LOAD || f64::from(s.open) + 1.0 > room
+        let room = s.track.strain.connection_limit(self.now).min(bound) + some;
+        s.track.strain.is_overloaded(self.now)
+            || self.load_now(slot) >= BUSY_LOAD
+            || f64::from(s.open) + 1.0 > room
     }
 
     fn may_ask(&self) -> bool {
@@ -586,7 +591,7 @@
         if self.may_ask() {
             let own = |s: &&Server| s.state == ServerState::Ready && !s.connections.is_empty();
             let hosts = self.servers.iter().filter(own).map(|s| s.id).collect();
-            self.ask(Asked::Review(hosts), out);
+            self.ask(Asked::Refresh(hosts), out);
         }
     }
 
@@ -595,8 +600,8 @@
         self.reports.handle(self.now, event, &mut commands);
         for command in commands {
             match command {
-                Command::Ask(id) => out.push(Action::Probe(id)),
-                Command::Go(id) => self.go(RequestId(id), out),
+                Command::Probe(id) => out.push(Action::Probe(id)),
+                Command::Proceed(id) => self.go(RequestId(id), out),
             }
         }
     }
@@ -611,11 +616,17 @@
         let held = held.and_then(|at| report.get(at)).map_or(0.0, |x| f64::from(*x));
         let (own, own_load) = server.loads[REPORT_AGE - 1];
         let told = load.map(|load| Told { load, own: own_load });
-        ok.then(|| self.silence.heard(id));
+        ok.then(|| self.silence.clear(id));
         if let Some(load) = load {
-            self.fleet.carrying.learn(&Held { weight: server.weight, load, held, own, own_load });
+            self.fleet.carrying.record(&ServerReport {
+                weight: server.weight,
+                utilization: load,
+                connections: held,
+                own_connections: own,
+                own_load,
+            });
         }
-        self.ask(Asked::Answered { host: id, report: told }, out);
+        self.ask(Asked::ProbeCompleted { server: id, report: told }, out);
     }
 
     /// A server's load over what it can do as of now: as last reported, and what the own connections
@@ -623,8 +634,8 @@
     /// fill a server that looks idle.
     fn load_now(&self, slot: usize) -> f64 {
         let s = &self.servers[slot];
-        let Some(told) = self.reports.known(self.now, s.id) else { return 0.0 };
-        let capacity = self.fleet.carrying.load() * s.weight;
+        let Some(told) = self.reports.report(self.now, s.id) else { return 0.0 };
+        let capacity = self.fleet.carrying.load_per_weight() * s.weight;
         let since = if capacity > 0.0 { (s.load - told.own) / capacity } else { 0.0 };
         told.load + since
     }
@@ -662,14 +673,14 @@
     fn relieve(&mut self, slot: usize, share: f64, out: &mut Vec<Action>) {
         let own = self.own_by_weight(slot);
         let loads: Vec<_> = own.iter().map(|id| self.requests.get(id).map_or(0.0, |p| p.load)).collect();
-        let chosen = relief(&loads, share, || self.uniform());
+        let chosen = select_to_shed(&loads, share, || self.uniform());
         self.move_these(slot, chosen.into_iter().map(|at| own[at]).collect(), out);
     }
 
     /// Relief: moves some of the own connections away from a server that cannot carry them,
     /// heaviest for its worth first, as those relieve it most for each client disturbed.
     fn move_some(&mut self, slot: usize, excess: f64, out: &mut Vec<Action>) {
-        let count = whole(excess, self.uniform());
+        let count = round_stochastic(excess, self.uniform());
         if count == 0 {
             return;
         }
@@ -717,7 +728,7 @@
         self.leave_draining(out);
         self.relieve_over(out);
         self.ask_due(out);
-        if self.fleet.shortage.due(self.now) {
+        if self.fleet.shortage.review_due(self.now) {
             self.weigh_warm();
             self.fleet.shortage.review(self.now, self.total as f64, self.on_hot());
         }
@@ -739,7 +750,7 @@
     /// Own connections on servers that have more than they can do: what tells a general overload.
     fn on_hot(&self) -> f64 {
         let hot = |slot: &usize| {
-            self.servers[*slot].track.strain.hot(self.now) || self.load_now(*slot) >= OVER_LOAD
+            self.servers[*slot].track.strain.is_overloaded(self.now) || self.load_now(*slot) >= OVER_LOAD
         };
         let own = (0..self.servers.len()).filter(|slot| !self.servers[*slot].connections.is_empty());
         let hot = own.filter(hot).map(|slot| self.servers[slot].connections.len());
@@ -760,30 +771,32 @@
         let nodes = if alone { 1.0 } else { f64::from(self.settings.nodes.max(1)) };
         let uniform = self.uniform();
         let (rules, s) = (&self.settings.rules, &self.servers[slot]);
-        let idle = self.reports.known(self.now, s.id).is_some() && self.load_now(slot) < COLD_IDLE;
+        let idle = self.reports.report(self.now, s.id).is_some() && self.load_now(slot) < COLD_IDLE;
         let margin = if idle { COLD_IDLE_MARGIN } else { COLD_MARGIN };
         let most = rules.tip_multiple * margin * self.capacity(slot) * s.weight;
-        let pace = Pace {
+        let pace = SlowStartRate {
             // What would fill the server in its time to warm up, as far as reports tell that: refused
             // clients add nothing to the own rate. All nodes together send that much.
-            part: most * self.fleet.carrying.connections() / rules.warm_after_ms.max(1.0) / nodes,
-            usual: most * self.fleet.rate.at(self.now),
-            lately: s.weight * self.burst.at(self.now),
+            share_per_ms: most * self.fleet.carrying.connections_per_weight()
+                / rules.warm_after_ms.max(1.0)
+                / nodes,
+            baseline_per_ms: most * self.fleet.rate.per_ms(self.now),
+            recent_per_ms: s.weight * self.burst.per_ms(self.now),
             window_ms: rules.overload_for_ms,
-            wanted,
+            demand: wanted,
         };
         self.servers[slot].track.budget.allows(self.now, &pace, uniform)
     }
 
     // ---- Request life ---------------------------------------------------------------------------
 
-    fn effect(&self, class: ClassId) -> Effect {
-        self.settings.classes.get(usize::from(class.0)).map_or(Effect::Safe, |c| c.effect)
+    fn effect(&self, class: ClassId) -> Idempotency {
+        self.settings.classes.get(usize::from(class.0)).map_or(Idempotency::Safe, |c| c.effect)
     }
 
     /// By class, and whether its tenant is above its share.
     fn worth(&self, pending: &Pending) -> f64 {
-        let above = self.shares.above(pending.tenant.0, 0.0);
+        let above = self.shares.exceeds_share(pending.tenant.0, 0.0);
         let worth = self.settings.classes.get(usize::from(pending.class.0)).map_or(1.0, |c| c.worth);
         (worth * if above { self.settings.over_share_worth } else { 1.0 }).max(0.01)
     }
@@ -797,8 +810,8 @@
             return;
         }
         let pending = self.pending(new, NOWHERE);
-        self.groups.seen(pending.group);
-        self.retries.first(self.now);
+        self.groups.record(pending.group);
+        self.retries.record_request(self.now);
         self.attempt(new.request, pending, out);
     }
 
@@ -841,7 +854,7 @@
         };
         let (phase, deadline, attempts) = (Phase::Open, f64::INFINITY, 1);
         let pending = Pending { phase, deadline, attempts, ..self.pending(new, slot) };
-        self.groups.seen(pending.group);
+        self.groups.record(pending.group);
         self.add_open(slot, 1);
         self.servers[slot].connections.push(new.request);
         self.shares.opened(new.tenant.0);
@@ -852,7 +865,7 @@
     /// May the next attempt go to this server?
     fn may_run_on(&self, pending: &Pending, slot: usize) -> bool {
         let server = &self.servers[slot];
-        self.effect(pending.class).may_run_on(self.now, pending.ran, server.zone.0, server.cell.0)
+        self.effect(pending.class).may_execute_on(self.now, pending.ran, server.zone.0, server.cell.0)
     }
 
     /// Draws servers for the next attempt and asks for their load, or holds the request, or gives its
@@ -863,8 +876,8 @@
         let over = left < LEAST_LEFT_MS
             || tries_left == 0
             || !self.effect(pending.class).may_repeat(self.now, pending.ran);
-        let above = self.shares.refuses(self.now, pending.tenant.0);
-        if over || above || self.throttled(&pending) || self.fleet.shortage.full(self.total, uniform) {
+        let above = self.shares.rejects(self.now, pending.tenant.0);
+        if over || above || self.throttled(&pending) || self.fleet.shortage.is_reached(self.total, uniform) {
             self.answer(id, &pending, out);
             return;
         }
@@ -876,10 +889,10 @@
             self.go(id, out);
             return;
         }
-        self.ask(Asked::Wanted { pick: id.0, hosts }, out);
+        self.ask(Asked::PickRequested { pick: id.0, servers: hosts }, out);
         // Also where others have asked already: their question may get no answer.
-        if self.reports.due().is_some() {
-            out.push(Action::SetTimer { delay_ms: self.settings.asking().patience_ms, token: PATIENCE });
+        if self.reports.next_timeout().is_some() {
+            out.push(Action::SetTimer { delay_ms: self.settings.asking().pick_timeout_ms, token: PATIENCE });
         }
     }
 
@@ -909,7 +922,7 @@
         let left = pending.deadline - self.now;
         let tries_left = self.settings.limits.max_attempts.saturating_sub(pending.attempts);
         // Half of the time stays for another server, unless the aim takes more or none may follow.
-        let another = tries_left > 1 && self.effect(pending.class) != Effect::Unsafe;
+        let another = tries_left > 1 && self.effect(pending.class) != Idempotency::Unsafe;
         let timeout_ms = if another && left / 2.0 >= self.aim(pending.class) / 2.0 {
             (left / 2.0).max(self.aim(pending.class)).min(left)
         } else {
@@ -919,8 +932,8 @@
         self.add_open(slot, 1);
         self.servers[slot].track.budget.spend();
         self.burst.add(self.now, self.per_warm());
-        self.reports.handle(self.now, Asked::Used(self.servers[slot].id), &mut Vec::new());
-        self.retries.sent();
+        self.reports.handle(self.now, Asked::ReportUsed(self.servers[slot].id), &mut Vec::new());
+        self.retries.record_attempt();
         pending.phase = Phase::Trying;
         pending.redrawn = 0;
         pending.tried = [slot, pending.tried[0]];
@@ -936,7 +949,7 @@
         if pending.redrawn > 0 || self.variant.plant == Some(Plant::RetryStorm) {
             return false;
         }
-        let limit = if pending.attempts == 0 { Limiter::allows } else { Limiter::allows_again };
+        let limit = if pending.attempts == 0 { Limiter::allows_first } else { Limiter::allows_retry };
         !limit(&mut self.retries, self.now, uniform)
     }
 
@@ -950,7 +963,7 @@
 
     /// Refused says that trying again is harmless: not where one may have run that must not run twice.
     fn refuse_or_fail(&self, id: RequestId, pending: &Pending, retry_after_ms: Millis) -> Action {
-        let harmless = self.effect(pending.class).harmless(pending.ran);
+        let harmless = self.effect(pending.class).client_may_retry(pending.ran);
         if harmless { Action::Refuse { request: id, retry_after_ms } } else { Action::Fail(id) }
     }
 
@@ -959,7 +972,8 @@
         let Some(pending) = self.requests.get_mut(&id) else { return };
         if pending.phase == Phase::Trying {
             let server = &self.servers[pending.slot];
-            let sent = Ran { at: pending.sent_at, zone: server.zone.0, cell: server.cell.0 };
+            let sent =
+                PossibleExecution { sent_at: pending.sent_at, zone: server.zone.0, cell: server.cell.0 };
             pending.ran = pending.ran.or(Some(sent));
         }
         if !matches!(pending.phase, Phase::Open | Phase::Over) {
@@ -1007,9 +1021,9 @@
         // Where loads are told they say more, and a set-up across zones may take as long on a sound host.
         let aim = if self.may_ask() { f64::INFINITY } else { self.slow_aim };
         let server = &mut self.servers[slot];
-        server.track.strain.came_up(self.now, took_ms, aim, f64::from(server.open));
-        self.retries.stood(self.now, took_ms);
-        self.reports.handle(self.now, Asked::Paid, &mut Vec::new());
+        server.track.strain.record_connect(self.now, took_ms, aim, f64::from(server.open));
+        self.retries.record_success(self.now, took_ms);
+        self.reports.handle(self.now, Asked::RefreshCredited, &mut Vec::new());
         self.fleet.rate.add(self.now, self.per_warm());
         self.blame(&erred, true);
     }
@@ -1018,10 +1032,10 @@
     /// itself at fault: its servers must not be left out for it, and it counts as one failure.
     fn blame(&mut self, erred: &[usize], stood: bool) {
         if stood || erred.len() == 1 {
-            self.retries.failed(self.now, erred.len() as f64);
+            self.retries.record_failures(self.now, erred.len() as f64);
             erred.iter().for_each(|slot| self.on_failure(*slot, self.most_ejected()));
         } else if !erred.is_empty() {
-            self.retries.failed(self.now, 1.0);
+            self.retries.record_failures(self.now, 1.0);
         }
     }
 
@@ -1053,7 +1067,7 @@
             // Nobody is there: that is no cause which servers share, and all but one may be out for it.
             Outcome::ConnectFailed => self.on_failure(slot, self.ready.saturating_sub(1)),
             Outcome::Error | Outcome::Full | Outcome::TimedOut | Outcome::Reset => {
-                self.retries.failed(self.now, f64::from(u8::from(pending.phase == Phase::Trying)));
+                self.retries.record_failures(self.now, f64::from(u8::from(pending.phase == Phase::Trying)));
                 self.on_failure(slot, self.most_ejected());
             }
         }
@@ -1063,7 +1077,11 @@
         }
         if !outcome.never_ran() && pending.ran.is_none() {
             let server = &self.servers[slot];
-            pending.ran = Some(Ran { at: pending.sent_at, zone: server.zone.0, cell: server.cell.0 });
+            pending.ran = Some(PossibleExecution {
+                sent_at: pending.sent_at,
+                zone: server.zone.0,
+                cell: server.cell.0,
+            });
         }
         if pending.phase == Phase::Open && outcome != Outcome::Ok {
             // A broken stream has ended for its client; nothing may follow it.
@@ -1075,7 +1093,7 @@
             self.answer(id, &pending, out);
             return;
         }
-        let wait = Limiter::wait_ms(usize::from(pending.attempts), self.uniform());
+        let wait = Limiter::backoff_ms(usize::from(pending.attempts), self.uniform());
         let storm = self.variant.plant == Some(Plant::RetryStorm);
         if wait > TICK_MS && self.now + wait + 2.0 * TICK_MS < pending.deadline && !storm {
             pending.phase = Phase::Held;
@@ -1093,7 +1111,7 @@
             Phase::Held | Phase::Asking => {
                 let erred = std::mem::take(&mut pending.erred);
                 self.requests.remove(&id);
-                self.reports.handle(self.now, Asked::Withdrawn(id.0), &mut Vec::new());
+                self.reports.handle(self.now, Asked::PickCancelled(id.0), &mut Vec::new());
                 self.blame(&erred, false);
             }
             Phase::Trying | Phase::Open => {
--- a/src/decide/membership.rs
+++ b/src/decide/membership.rs
@@ -4,7 +4,7 @@
 use super::{ASK, Balancer, LEAVE_MS, NOWHERE, REPORT_AGE, Server};
 use crate::draws::draws_for;
 use crate::interface::*;
-use marllink_rate_limits::{Budget, calls};
+use marllink_rate_limits::{SlowStartBudget, discovery_calls};
 use marllink_server_state::Event as Asked;
 use rustc_hash::FxHashMap;
 
@@ -12,14 +12,14 @@
     pub(super) fn on_list(&mut self, kind: ListKind, entries: &[ServerEntry], out: &mut Vec<Action>) {
         match kind {
             ListKind::Failed => {
-                let delay_ms = calls::again(self.uniform());
+                let delay_ms = discovery_calls::retry_delay(self.uniform());
                 out.push(Action::SetTimer { delay_ms, token: ASK });
                 return;
             }
             ListKind::Cached => {
                 if self.settings.discovery == Discovery::Ask {
                     let (nodes, within) = (self.settings.nodes, self.settings.rules.ask_within_ms);
-                    let delay_ms = calls::first(nodes, within, self.uniform());
+                    let delay_ms = discovery_calls::initial_delay(nodes, within, self.uniform());
                     out.push(Action::SetTimer { delay_ms, token: ASK });
                 }
             }
@@ -55,7 +55,7 @@
             // What was known of the process before does not hold for the new one.
             server.track.failures = 0;
             server.track.out_until = 0.0;
-            server.track.budget = Budget::new(budget, self.now);
+            server.track.budget = SlowStartBudget::new(budget, self.now);
         }
         server.zone = entry.zone;
         server.cell = entry.cell;
@@ -81,7 +81,7 @@
             loads: [(0.0, 0.0); REPORT_AGE],
             leave_by: f64::INFINITY,
             place: NOWHERE,
-            track: Track { strain: Strain::new(self.now), ..Track::default() },
+            track: Track { strain: OverloadState::new(self.now), ..Track::default() },
         };
         let slot = match self.free.pop() {
             Some(slot) => {
@@ -108,7 +108,7 @@
             if let Some(&slot) = self.index.get(&id) {
                 let server = &mut self.servers[slot];
                 let (strain, started_at, budget) =
-                    (Strain::new(self.now), self.now, Budget::new(1.0, self.now));
+                    (OverloadState::new(self.now), self.now, SlowStartBudget::new(1.0, self.now));
                 server.track = Track { strain, started_at, budget, ..Track::default() };
             }
         }
@@ -122,8 +122,8 @@
         if self.index.get(&id) == Some(&slot) {
             self.index.remove(&id);
             self.free.push(slot);
-            self.reports.handle(self.now, Asked::Gone(id), &mut Vec::new());
-            self.silence.heard(id);
+            self.reports.handle(self.now, Asked::Removed(id), &mut Vec::new());
+            self.silence.clear(id);
         }
     }
 
--- a/src/decide/succession.rs
+++ b/src/decide/succession.rs
@@ -13,15 +13,15 @@
         let sorted = |set: &FxHashSet<ServerId>| set.iter().copied().collect();
         let (out, back) = (sorted(&self.out), sorted(&self.back));
         let fleet = Fleet { tried: self.retries.counts(), ..self.fleet.clone() };
-        Knowledge { now: self.now, servers, out, back, fleet, told: self.reports.told(self.now) }
+        Knowledge { now: self.now, servers, out, back, fleet, told: self.reports.recent_reports(self.now) }
     }
 
     /// Takes over what a predecessor knows. Its clock began elsewhere.
     pub(super) fn take_over(&mut self, knowledge: Knowledge) {
         let by = self.now - knowledge.now;
         self.fleet = knowledge.fleet.shifted(by);
-        self.retries.take_over(self.now, self.fleet.tried);
-        knowledge.told.into_iter().for_each(|(id, at, told)| self.reports.learn(at + by, id, told));
+        self.retries.restore(self.now, self.fleet.tried);
+        knowledge.told.into_iter().for_each(|(id, at, told)| self.reports.restore(at + by, id, told));
         self.out.extend(knowledge.out);
         self.back.extend(knowledge.back);
         for (id, track) in knowledge.servers {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -2,11 +2,11 @@
 //!
 //! Times are `f64` milliseconds on one monotonic clock of the embedding node; its origin is free.
 
-use marllink_rate_limits::{Budget, Rate, Shortage};
-pub use marllink_rebalancing::Strain;
-pub use marllink_retries::{Effect, KeyScope};
-use marllink_server_state::Carrying;
-pub use marllink_server_state::Sign;
+use marllink_rate_limits::{ConnectionLimit, Rate, SlowStartBudget};
+pub use marllink_rebalancing::OverloadState;
+pub use marllink_retries::{DedupScope, Idempotency};
+use marllink_server_state::CapacityEstimate;
+pub use marllink_server_state::Symptom;
 use serde::{Deserialize, Serialize};
 
 /// Milliseconds, as a point on the node's monotonic clock or as a span.
@@ -49,7 +49,7 @@
     /// A set-up within this time is worth the most.
     pub aim_ms: Millis,
     /// Whether it may be repeated.
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// Its worth relative to other classes.
     pub worth: f64,
     /// The aim for a message on an open connection; 0 if there is none.
@@ -58,7 +58,7 @@
 
 impl Default for Class {
     fn default() -> Self {
-        Self { aim_ms: 500.0, effect: Effect::Safe, worth: 1.0, message_aim_ms: 0.0 }
+        Self { aim_ms: 500.0, effect: Idempotency::Safe, worth: 1.0, message_aim_ms: 0.0 }
     }
 }
 
@@ -221,11 +221,11 @@
     }
 
     /// How servers are asked for their load.
-    pub(crate) fn asking(&self) -> marllink_server_state::Settings {
+    pub(crate) fn asking(&self) -> marllink_server_state::ProbeSettings {
         let aims = self.classes.iter().map(|c| c.aim_ms).filter(|a| *a > 0.0);
-        let usual = marllink_server_state::Settings::default();
-        let patience_ms = usual.patience_ms.min(aims.fold(f64::INFINITY, f64::min) * ASK_SHARE);
-        marllink_server_state::Settings { patience_ms, ..usual }
+        let usual = marllink_server_state::ProbeSettings::default();
+        let patience_ms = usual.pick_timeout_ms.min(aims.fold(f64::INFINITY, f64::min) * ASK_SHARE);
+        marllink_server_state::ProbeSettings { pick_timeout_ms: patience_ms, ..usual }
     }
 }
 
@@ -394,7 +394,7 @@
         /// Which.
         server: ServerId,
         /// What speaks for it.
-        sign: Sign,
+        sign: Symptom,
     },
     /// The client has left; nothing is owed.
     ClientGone(RequestId),
@@ -466,7 +466,7 @@
     /// When it last started; 0 or less for long ago.
     pub started_at: Millis,
     /// What is known of slow messages there.
-    pub strain: Strain,
+    pub strain: OverloadState,
     /// When it is relieved again at the earliest.
     pub relieve_at: Millis,
     /// Failures running.
@@ -476,19 +476,19 @@
     /// Out of the ready set until then.
     pub out_until: Millis,
     /// What this node may still send to it while cold.
-    pub budget: Budget,
+    pub budget: SlowStartBudget,
 }
 
 impl Default for Track {
     fn default() -> Self {
         Self {
             started_at: 0.0,
-            strain: Strain::new(LONG_AGO),
+            strain: OverloadState::new(LONG_AGO),
             relieve_at: LONG_AGO,
             failures: 0,
             failed_at: LONG_AGO,
             out_until: LONG_AGO,
-            budget: Budget::new(0.0, LONG_AGO),
+            budget: SlowStartBudget::new(0.0, LONG_AGO),
         }
     }
 }
@@ -517,9 +517,9 @@
     /// Attempts that failed lately, those that stood, and what may be spent on further ones.
     pub tried: [f64; 3],
     /// What a unit of weight can carry, by reports.
-    pub carrying: Carrying,
+    pub carrying: CapacityEstimate,
     /// Own connections that all servers together are held to.
-    pub shortage: Shortage,
+    pub shortage: ConnectionLimit,
 }
 
 impl Default for Fleet {
@@ -527,8 +527,8 @@
         Self {
             rate: Rate::new(1.0, LONG_AGO),
             tried: [0.0; 3],
-            carrying: Carrying::default(),
-            shortage: Shortage::new(LONG_AGO),
+            carrying: CapacityEstimate::default(),
+            shortage: ConnectionLimit::new(LONG_AGO),
         }
     }
 }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -607,7 +607,7 @@
 fn a_class_that_may_not_run_twice_is_answered_at_once_when_it_may_have_run() {
     // Held back for a server that could not be used anyhow, the answer came at the end of the aim.
     let mut settings = settings();
-    settings.classes[0].effect = Effect::Unsafe;
+    settings.classes[0].effect = Idempotency::Unsafe;
     let mut node = Node::new(settings, entries(3));
     let (request, actions) = node.ask(2_000.0);
     assert!(matches!(actions[..], [Action::Send { timeout_ms: 2_000.0, .. }]), "{actions:?}");
@@ -734,10 +734,10 @@
     let (mut node, placed) = zones_in_use();
     node.now += 2_000.0;
     node.told.clear();
-    let actions = node.on(Event::Silent { server: ServerId(2), sign: Sign::Unanswered });
+    let actions = node.on(Event::Silent { server: ServerId(2), sign: Symptom::OverdueReply });
     assert!(actions.contains(&Action::Probe(ServerId(2))) && moved(&actions).is_empty(), "{actions:?}");
     node.now += 200.0;
-    let actions = node.on(Event::Silent { server: ServerId(2), sign: Sign::NoConnection });
+    let actions = node.on(Event::Silent { server: ServerId(2), sign: Symptom::ConnectTimeout });
     let there = |server: u64| placed.iter().filter(move |p| p.1 == ServerId(server)).map(|p| p.0);
     let (mut gone, mut held) = (moved(&actions), there(2).collect::<Vec<_>>());
     gone.sort();
@@ -747,7 +747,7 @@
     assert!(actions.contains(&Action::Probe(ServerId(3))), "{actions:?}");
     assert!(!actions.iter().any(|a| matches!(a, Action::Probe(ServerId(0 | 1)))), "{actions:?}");
     node.now += 200.0;
-    let actions = node.on(Event::Silent { server: ServerId(3), sign: Sign::NoConnection });
+    let actions = node.on(Event::Silent { server: ServerId(3), sign: Symptom::ConnectTimeout });
     assert_eq!(moved(&actions).len(), there(3).count());
 }
 
@@ -755,11 +755,11 @@
 fn a_server_that_answers_late_is_asked_and_keeps_its_connections() {
     let (mut node, _) = zones_in_use();
     node.now += 2_000.0;
-    let actions = node.on(Event::Silent { server: ServerId(2), sign: Sign::Unanswered });
+    let actions = node.on(Event::Silent { server: ServerId(2), sign: Symptom::OverdueReply });
     assert!(actions.contains(&Action::Probe(ServerId(2))), "{actions:?}");
     // It has answered that; a first packet that is lost later says nothing.
     node.now += 200.0;
-    assert!(moved(&node.on(Event::Silent { server: ServerId(2), sign: Sign::NoConnection })).is_empty());
+    assert!(moved(&node.on(Event::Silent { server: ServerId(2), sign: Symptom::ConnectTimeout })).is_empty());
 }
 
 #[test]
@@ -771,7 +771,7 @@
     settings.report_fields = vec![ReportField::Utilization];
     let mut node = Node::new(settings, entries(1));
     let mut actions = Vec::new();
-    let doubt = Event::Silent { server: ServerId(1), sign: Sign::Unanswered };
+    let doubt = Event::Silent { server: ServerId(1), sign: Symptom::OverdueReply };
     node.balancer.handle(node.now, doubt, &mut actions);
     assert_eq!(actions, [Action::Probe(ServerId(1))]);
     actions.clear();
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -15,7 +15,7 @@
 /// What a request has been through, as the rules see it.
 #[derive(Debug)]
 struct Seen {
-    effect: Effect,
+    effect: Idempotency,
     deadline: Millis,
     /// The attempt out: its number, server, end by time-out, and when it was sent.
     out: Option<(u8, ServerId, Millis, Millis)>,
@@ -35,9 +35,15 @@
     now_due: bool,
 }
 
-fn effects() -> Vec<Effect> {
-    let keyed = |scope| Effect::Keyed { scope, window_ms: WINDOW };
-    vec![Effect::Safe, keyed(KeyScope::All), keyed(KeyScope::Zone), keyed(KeyScope::Cell), Effect::Unsafe]
+fn effects() -> Vec<Idempotency> {
+    let keyed = |scope| Idempotency::Keyed { scope, window_ms: WINDOW };
+    vec![
+        Idempotency::Safe,
+        keyed(DedupScope::All),
+        keyed(DedupScope::Zone),
+        keyed(DedupScope::Cell),
+        Idempotency::Unsafe,
+    ]
 }
 
 fn host(id: u64, state: ServerState, started_at: Millis) -> ServerEntry {
@@ -85,14 +91,14 @@
                         let (a, b) = (entry, &self.listed[&first]);
                         assert!(
                             match seen.effect {
-                                Effect::Safe => true,
-                                Effect::Unsafe => false,
-                                Effect::Keyed { scope, window_ms } =>
+                                Idempotency::Safe => true,
+                                Idempotency::Unsafe => false,
+                                Idempotency::Keyed { scope, window_ms } =>
                                     now - at < window_ms
                                         && match scope {
-                                            KeyScope::All => true,
-                                            KeyScope::Zone => a.zone == b.zone,
-                                            KeyScope::Cell => a.cell == b.cell,
+                                            DedupScope::All => true,
+                                            DedupScope::Zone => a.zone == b.zone,
+                                            DedupScope::Cell => a.cell == b.cell,
                                         },
                             },
                             "an effect may happen twice: {seen:?}"
@@ -105,8 +111,10 @@
                 Action::Refuse { request, .. } => {
                     let seen = self.requests.get_mut(&request).expect("a request that was given");
                     let unharmed = match seen.effect {
-                        Effect::Safe | Effect::Keyed { scope: KeyScope::All, .. } => true,
-                        Effect::Keyed { .. } | Effect::Unsafe => seen.ran.is_none() && seen.out.is_none(),
+                        Idempotency::Safe | Idempotency::Keyed { scope: DedupScope::All, .. } => true,
+                        Idempotency::Keyed { .. } | Idempotency::Unsafe => {
+                            seen.ran.is_none() && seen.out.is_none()
+                        }
                     };
                     let waited = seen.out.is_none() || self.now_due;
                     assert!(unharmed && waited, "a refusal invites a repeat: {seen:?}");
