--- a/node/src/exchange/mod.rs
+++ b/node/src/exchange/mod.rs
@@ -5,14 +5,14 @@
 //! side holds a [`RequestHandle`] and the server side an [`AttemptHandle`]; each gives back what it stands for
 //! when it is dropped, however its task ends.
 
-mod holders;
-mod orders;
+mod commands;
+mod handles;
 mod pipe;
 pub mod record;
-pub mod resume;
+pub mod session_driver;
 
+use crate::backend::message_delay::Delays;
 use crate::core::{Core, Requests};
-use crate::host::delay::Delays;
 use crate::io::clock::{Clock, Millis};
 use crate::io::descriptors::{Descriptors, Purpose};
 use crate::io::pump::Between;
@@ -22,16 +22,16 @@
 use crate::protocol::handover::Connection;
 use crate::protocol::line::{self, Opening};
 use crate::protocol::session::{self, FromClient};
-pub use holders::{AttemptHandle, ProbeResult, RequestHandle};
+pub use commands::{Adopted, Attempt, Order, Probe, Restores};
+pub use handles::{AttemptHandle, ProbeResult, RequestHandle};
 use marllink::{
     AttemptNo, ClassId, Event, Idempotency, NewRequest, Outcome, RequestId, ServerId, Symptom, TenantId,
 };
 use marllink_sessions::{Ask, Event as SessionEvent};
-pub use orders::{Adopted, Attempt, Order, Probe, Restores};
 use pipe::Handoff;
-pub use pipe::{Passed, Pipe, Socket};
+pub use pipe::{HandedOffConnection, HandedOffSocket, Pipe};
 use record::{AttemptCause, AttemptEnd, AttemptRecord, EndReason, RequestRecord};
-use resume::Resume;
+use session_driver::SessionDriver;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::rc::{Rc, Weak};
@@ -144,7 +144,7 @@
     elsewhere: RefCell<HashSet<u64>>,
     delays: RefCell<Delays>,
     /// Sessions, where they are switched on.
-    resume: Option<Rc<Resume>>,
+    resume: Option<Rc<SessionDriver>>,
     me: Weak<Exchange>,
 }
 
@@ -157,7 +157,7 @@
         descriptors: Rc<Descriptors>,
         tuning: Rc<Tuning>,
         sides: Sides,
-        resume: Option<Rc<Resume>>,
+        resume: Option<Rc<SessionDriver>>,
     ) -> Rc<Self> {
         let Sides { orders, adopted } = sides;
         let delays = RefCell::new(Delays::new(strictest_aim(&tuning)));
@@ -193,11 +193,9 @@
         let settings = self.tuning.now();
         let names = &settings.names;
         // A class taken for another would be served as what it is not.
-        let class = names.classes.number(&opening.class).ok_or("no such class")?;
+        let class = names.classes.id(&opening.class).ok_or("no such class")?;
         let tenant = match &opening.tenant {
-            Some(tenant) if !names.tenants.is_empty() => {
-                names.tenants.number(tenant).ok_or("no such tenant")?
-            }
+            Some(tenant) if !names.tenants.is_empty() => names.tenants.id(tenant).ok_or("no such tenant")?,
             _ => 0,
         };
         // Form hosts tell connections apart by their ids: a second one would be a copy of the first.
@@ -320,7 +318,7 @@
     }
 
     /// The settings in force have changed.
-    pub fn retuned(&self) {
+    pub fn settings_changed(&self) {
         self.delays.borrow_mut().tell_over(strictest_aim(&self.tuning));
     }
 
@@ -332,24 +330,24 @@
     }
 
     /// These ids are in use at a predecessor.
-    pub fn held_elsewhere(&self, ids: Vec<u64>) {
+    pub fn set_predecessor_ids(&self, ids: Vec<u64>) {
         *self.elsewhere.borrow_mut() = ids.into_iter().collect();
     }
 
     /// Moves so many of the connections that stand, oldest first.
-    pub fn move_some(&self, count: usize) {
+    pub fn move_oldest(&self, count: usize) {
         for id in self.ids(|e| matches!(e.phase, Phase::Standing)).into_iter().take(count) {
             self.move_client(id);
         }
     }
 
     /// Connections that stand.
-    pub fn standing(&self) -> usize {
+    pub fn established_count(&self) -> usize {
         self.entries.borrow().values().filter(|e| matches!(e.phase, Phase::Standing)).count()
     }
 
     /// Has up to `most` connections of which nothing is under way passed on. Here they are over.
-    pub fn hand_off(&self, most: usize, to: &mpsc::UnboundedSender<Passed>) {
+    pub fn hand_off_idle(&self, most: usize, to: &mpsc::UnboundedSender<HandedOffConnection>) {
         let mut entries = self.entries.borrow_mut();
         let busy = |id| self.resume.as_ref().is_some_and(|resume| resume.is_busy(id));
         let idle = |(id, e): &(&RequestId, &mut Entry)| {
@@ -384,8 +382,8 @@
         // The predecessor may still tell that it holds this id, but it can't be open here.
         let Some(id_in_use) = IdInUse::take(id, &self.in_use) else { return };
         let names = &self.tuning.now().names;
-        let number = names.classes.number_once(&class);
-        let of_tenant = tenant.as_ref().and_then(|tenant| names.tenants.number_once(tenant));
+        let number = names.classes.id_including_withdrawn(&class);
+        let of_tenant = tenant.as_ref().and_then(|tenant| names.tenants.id_including_withdrawn(tenant));
         let (request, exchange) = (self.core.number_request(), self.me.upgrade().expect("it is in use"));
         let pipe = Pipe::new();
         pipe.standing.set(true);
@@ -436,7 +434,7 @@
     }
 
     /// Sessions, where they are switched on.
-    pub fn resume(&self) -> Option<&Rc<Resume>> {
+    pub fn session_driver(&self) -> Option<&Rc<SessionDriver>> {
         self.resume.as_ref()
     }
 
@@ -498,7 +496,7 @@
     }
 
     /// The ways of lines about a session, if this request has one.
-    fn session_of(&self, id: RequestId) -> Option<&Rc<Resume>> {
+    fn session_of(&self, id: RequestId) -> Option<&Rc<SessionDriver>> {
         let has = self.entries.borrow().get(&id).is_some_and(|e| e.pipe.session.get());
         self.resume.as_ref().filter(|_| has)
     }
@@ -529,7 +527,7 @@
     }
 
     /// Has every request that still waits get its final answer.
-    pub fn answer_all(&self) {
+    pub fn answer_all_waiting(&self) {
         for id in self.ids(|e| matches!(e.phase, Phase::Waiting)) {
             self.answer_now(id);
         }
@@ -549,7 +547,7 @@
     }
 
     /// Requests that are not over yet.
-    pub fn len(&self) -> usize {
+    pub fn request_count(&self) -> usize {
         self.entries.borrow().len()
     }
 
@@ -632,8 +630,8 @@
     /// How attempts to restore a connection of this class may be repeated.
     fn restores(&self, class: &str) -> Restores {
         let settings = self.tuning.now();
-        let number = settings.names.classes.number(class);
-        let class = number.and_then(|number| settings.decisions.classes.get(usize::from(number)));
+        let number = settings.names.classes.id(class);
+        let class = number.and_then(|number| settings.balancing.classes.get(usize::from(number)));
         match class.map(|class| class.effect) {
             Some(Idempotency::Safe) => Restores::Always,
             Some(_) | None => Restores::IfNeverRan,
@@ -654,7 +652,7 @@
 
 fn strictest_aim(tuning: &Tuning) -> Millis {
     let settings = tuning.now();
-    let aims = settings.decisions.classes.iter().map(|c| c.message_aim_ms).filter(|aim| *aim > 0.0);
+    let aims = settings.balancing.classes.iter().map(|c| c.message_aim_ms).filter(|aim| *aim > 0.0);
     aims.fold(f64::INFINITY, f64::min)
 }
 
@@ -671,7 +669,7 @@
         let attempt = AttemptNo(entry.attempts);
         entry.attempts = entry.attempts.saturating_add(1);
         let allowed = matches!(entry.phase, Phase::Waiting)
-            && entry.attempts <= self.tuning.now().decisions.limits.max_attempts.max(1);
+            && entry.attempts <= self.tuning.now().balancing.limits.max_attempts.max(1);
         let way = self.directory.address(server).filter(|_| allowed);
         let Some((address, descriptor)) =
             way.and_then(|a| Some((a, self.descriptors.take(Purpose::Served)?)))
--- a/node/src/operations/reload.rs
+++ b/node/src/operations/reload.rs
@@ -49,9 +49,9 @@
                     tracing::warn!("SIGHUP: held as it was until the next start: {}", fixed.join(", "));
                 }
                 // All at once: nothing can happen between these.
-                tuning.change(config.settings.follow(&tuning.now()));
-                handover.exchange.retuned();
-                handover.core.feed(Event::Settings(tuning.now().decisions.clone()));
+                tuning.change(config.settings.as_reload_of(&tuning.now()));
+                handover.exchange.settings_changed();
+                handover.core.feed(Event::Settings(tuning.now().balancing.clone()));
                 handover.discovery.go_over_to(config.discovery);
                 handover.config.replace(config.text);
                 retune(handover, features);
@@ -63,7 +63,7 @@
 
 /// Has what operators have switched on go over to new settings and keys.
 fn retune(handover: &Handover, features: Features) {
-    match (handover.exchange.resume(), features.operators.sessions, features.keys) {
+    match (handover.exchange.session_driver(), features.operators.sessions, features.keys) {
         (Some(resume), Some(sessions), Some(keys)) => {
             resume.feed(SessionEvent::Settings(sessions.settings()));
             resume.feed(SessionEvent::Keys(keys));
--- a/node/src/operations/state.rs
+++ b/node/src/operations/state.rs
@@ -68,8 +68,12 @@
             return None;
         }
     };
-    if found.damaged > 0 {
-        tracing::warn!("the store {}: {} bytes are damaged; the rest holds", folder.display(), found.damaged);
+    if found.damaged_bytes > 0 {
+        tracing::warn!(
+            "the store {}: {} bytes are damaged; the rest holds",
+            folder.display(),
+            found.damaged_bytes
+        );
     }
     let record = found.latest.get(LIST)?;
     Some((serde_json::from_value(record.body.clone()).ok()?, record.at))
@@ -116,7 +120,7 @@
         let trusted_ms = f64::from(store.trusted_s) * 1_000.0;
         let limits = Limits {
             trusted_age_ms: trusted_ms,
-            max_in_flight: usize::from(store.asked_at_once),
+            max_in_flight: usize::from(store.concurrent_probes),
             ..Limits::default()
         };
         let recovery = RefCell::new(Recovery::new(limits, seed, parts.clock.now()));
@@ -163,10 +167,10 @@
     pub async fn follow(self: Rc<Self>) {
         let this = self.clone();
         tokio::task::spawn_local(async move {
-            this.parts.core.served().await;
+            this.parts.core.connection_established().await;
             // Before the list is good that is no service yet.
             while this.recovery.borrow().phase() < Phase::ListTrusted {
-                this.parts.core.served().await;
+                this.parts.core.connection_established().await;
             }
             this.handle(Event::ConnectionEstablished);
         });
@@ -193,7 +197,7 @@
         self.kept_at.set(self.parts.clock.now());
         let kept = Kept { discovery: self.parts.discovery.address(), list: list.clone() };
         match serde_json::to_value(kept) {
-            Ok(body) => self.writer.keep(Record { name: LIST.into(), at: self.parts.clock.unix(), body }),
+            Ok(body) => self.writer.put(Record { name: LIST.into(), at: self.parts.clock.unix(), body }),
             Err(error) => tracing::warn!("the list can't be kept: {error}"),
         }
     }
@@ -242,7 +246,7 @@
         let Some(_descriptor) = self.parts.descriptors.take(Purpose::Served) else { return false };
         let Some(address) = self.parts.directory.address(host) else { return false };
         let Ok(stream) = connect(&self.parts.clock, address, ANSWER_MS).await else { return false };
-        if !self.parts.tuning.now().decisions.limits.probe {
+        if !self.parts.tuning.now().balancing.limits.probe {
             return true;
         }
         let mut answer = Vec::new();
