--- a/node/src/backend/server.rs
+++ b/node/src/backend/server.rs
@@ -163,7 +163,7 @@
         wait_ms: Millis,
         on_no_response: impl FnOnce(),
     ) -> Result<TcpStream, ConnectError> {
-        let timeout_ms = self.tuning.now().decisions.limits.connect_timeout_ms;
+        let timeout_ms = self.tuning.now().balancing.limits.connect_timeout_ms;
         let connected = connect(&self.clock, address, timeout_ms.min(wait_ms)).await;
         // A connect that had less time says nothing about the server.
         if matches!(connected, Err(ConnectError::TimedOut)) && wait_ms >= timeout_ms {
--- a/node/src/core.rs
+++ b/node/src/core.rs
@@ -4,7 +4,7 @@
 //! sockets and protocols: the component that brings requests implements [`RequestActions`].
 
 use crate::io::clock::{Clock, Millis};
-use marllink::{Action, AttemptNo, Balancer, Event, Holding, Knowledge, RequestId, ServerId, Settings};
+use marllink::{Action, AttemptNo, Balancer, Event, Holding, LearnedState, RequestId, ServerId, Settings};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::rc::{Rc, Weak};
@@ -85,14 +85,14 @@
     }
 
     /// Returns what the balancer has learned, for the successor process.
-    pub fn knowledge(&self) -> Knowledge {
-        Knowledge { now: self.clock.now(), ..self.balancer.borrow().knowledge() }
+    pub fn knowledge(&self) -> LearnedState {
+        LearnedState { now: self.clock.now(), ..self.balancer.borrow().learned_state() }
     }
 
     /// Returns true if an attempt at this server may start now. Must not be called while the balancer handles
     /// an event.
     pub fn accepts_new(&self, server: ServerId) -> bool {
-        self.balancer.borrow().takes_new(server)
+        self.balancer.borrow().accepts_new(server)
     }
 
     /// Returns the connections and load that this process itself holds, by server.
@@ -136,7 +136,7 @@
         match action {
             Action::Send { request, server, timeout_ms } => requests.send(request, server, timeout_ms),
             Action::Cancel { request, attempt } => requests.cancel(request, attempt),
-            Action::Refuse { request, retry_after_ms } => requests.reject(request, retry_after_ms),
+            Action::Reject { request, retry_after_ms } => requests.reject(request, retry_after_ms),
             Action::Fail(request) => requests.fail(request),
             Action::Move(request) => requests.move_client(request),
             Action::Probe(server) => requests.probe(server),
@@ -151,7 +151,7 @@
             }
             Action::Log(text) => tracing::info!("{text}"),
             // Balancer processes have no channel between them, and the settings do not allow this action.
-            Action::TellPeer { .. } => {}
+            Action::SendToPeer { .. } => {}
         }
     }
 }
--- a/node/src/exchange/handles.rs
+++ b/node/src/exchange/handles.rs
@@ -6,7 +6,7 @@
 use crate::backend::load_line::{self, LineContext, LineKind};
 use crate::io::clock::Millis;
 use crate::protocol::report::{self, Report};
-use marllink::{AttemptNo, Event, Outcome, RequestId, ServerId, Sign};
+use marllink::{AttemptNo, Event, Outcome, RequestId, ServerId, Symptom};
 use marllink_sessions::Event as SessionEvent;
 use std::rc::{Rc, Weak};
 
@@ -171,7 +171,7 @@
         let (exchange, request) = (&self.exchange, self.id);
         let now = exchange.clock.now();
         pipe.unanswered.borrow_mut().line_received(now);
-        if exchange.tuning.now().tells_delay {
+        if exchange.tuning.now().servers_report_delay {
             let mut delays = exchange.delays.borrow_mut();
             let (established_at, previous_load) = (pipe.established_at.get(), pipe.reported_load.get());
             let (delay_reported_at, report_threshold_ms) =
@@ -202,7 +202,9 @@
 
     /// Reports that a connect to the server timed out without a response.
     pub fn no_connection(&self) {
-        self.exchange.core.feed(Event::Silent { server: self.server, sign: Sign::NoConnection });
+        self.exchange
+            .core
+            .feed(Event::Unresponsive { server: self.server, symptom: Symptom::ConnectTimeout });
     }
 
     /// Records a failed try to restore the connection that is followed by another one. Must be called
@@ -257,7 +259,7 @@
     /// Reports that a connect to the server timed out without a response.
     pub fn no_connection(&self) {
         if let Some(exchange) = self.exchange.upgrade() {
-            exchange.core.feed(Event::Silent { server: self.server, sign: Sign::NoConnection });
+            exchange.core.feed(Event::Unresponsive { server: self.server, symptom: Symptom::ConnectTimeout });
         }
     }
 }
--- a/node/src/exchange/mod.rs
+++ b/node/src/exchange/mod.rs
@@ -24,7 +24,9 @@
 use crate::protocol::session::{self, FromClient};
 pub use commands::{AdoptedClient, Attempt, BackendCommand, Probe, RestoreRetry};
 pub use handles::{AttemptHandle, ProbeResult, RequestHandle};
-use marllink::{AttemptNo, ClassId, Effect, Event, NewRequest, Outcome, RequestId, ServerId, Sign, TenantId};
+use marllink::{
+    AttemptNo, ClassId, Event, Idempotency, NewRequest, Outcome, RequestId, ServerId, Symptom, TenantId,
+};
 use marllink_sessions::{Ask, Event as SessionEvent};
 use pipe::Handoff;
 pub use pipe::{HandedOffConnection, HandedOffSocket, Pipe};
@@ -194,11 +196,9 @@
         let settings = self.tuning.now();
         let names = &settings.names;
         // Substituting another class would serve the request by the wrong rules.
-        let class = names.classes.number(&opening.class).ok_or("unknown class")?;
+        let class = names.classes.id(&opening.class).ok_or("unknown class")?;
         let tenant = match &opening.tenant {
-            Some(tenant) if !names.tenants.is_empty() => {
-                names.tenants.number(tenant).ok_or("unknown tenant")?
-            }
+            Some(tenant) if !names.tenants.is_empty() => names.tenants.id(tenant).ok_or("unknown tenant")?,
             _ => 0,
         };
         // Servers identify connections by these ids: a second connection with the same id would be taken
@@ -310,7 +310,7 @@
         let servers: BTreeSet<_> = servers.collect();
         drop(entries);
         for server in servers {
-            self.core.feed(Event::Silent { server, sign: Sign::Unanswered });
+            self.core.feed(Event::Unresponsive { server, symptom: Symptom::OverdueReply });
         }
     }
 
@@ -398,8 +398,8 @@
         // The predecessor may still list this id as its own, but no other request here can have it.
         let Some(id_in_use) = IdInUse::reserve(id, &self.ids_in_use) else { return };
         let names = &self.tuning.now().names;
-        let class_number = names.classes.number_once(&class);
-        let tenant_number = tenant.as_ref().and_then(|tenant| names.tenants.number_once(tenant));
+        let class_id = names.classes.id_including_withdrawn(&class);
+        let tenant_id = tenant.as_ref().and_then(|tenant| names.tenants.id_including_withdrawn(tenant));
         let (request, exchange) = (
             self.core.number_request(),
             self.weak_self.upgrade().expect("the exchange is alive while it is borrowed"),
@@ -426,8 +426,8 @@
         self.entries.borrow_mut().insert(request, entry);
         // A class that was removed from the settings before this process started has no number; an
         // out-of-range number makes the balancer use its defaults.
-        let class = ClassId(class_number.unwrap_or(u16::MAX));
-        let tenant = TenantId(tenant_number.unwrap_or(u16::MAX));
+        let class = ClassId(class_id.unwrap_or(u16::MAX));
+        let tenant = TenantId(tenant_id.unwrap_or(u16::MAX));
         let new = NewRequest { request, class, tenant, group, ..NewRequest::default() };
         self.core.feed(Event::OpenConnection { request: new, server });
         self.core.feed(Event::ConnectionLoad { request, load });
@@ -665,10 +665,10 @@
     /// Returns which failed attempts to restore a connection of this class may be repeated.
     fn restore_retry(&self, class: &str) -> RestoreRetry {
         let settings = self.tuning.now();
-        let number = settings.names.classes.number(class);
-        let class = number.and_then(|number| settings.decisions.classes.get(usize::from(number)));
-        match class.map(|class| class.effect) {
-            Some(Effect::Safe) => RestoreRetry::Always,
+        let number = settings.names.classes.id(class);
+        let class = number.and_then(|number| settings.balancing.classes.get(usize::from(number)));
+        match class.map(|class| class.idempotency) {
+            Some(Idempotency::Safe) => RestoreRetry::Always,
             Some(_) | None => RestoreRetry::IfNeverRan,
         }
     }
@@ -691,7 +691,7 @@
 fn strictest_message_goal_ms(tuning: &Tuning) -> Millis {
     let settings = tuning.now();
     let goals =
-        settings.decisions.classes.iter().map(|class| class.message_aim_ms).filter(|goal| *goal > 0.0);
+        settings.balancing.classes.iter().map(|class| class.message_goal_ms).filter(|goal| *goal > 0.0);
     goals.fold(f64::INFINITY, f64::min)
 }
 
@@ -708,7 +708,7 @@
         let attempt = AttemptNo(entry.attempt_count);
         entry.attempt_count = entry.attempt_count.saturating_add(1);
         let allowed = matches!(entry.phase, Phase::Waiting)
-            && entry.attempt_count <= self.tuning.now().decisions.limits.max_attempts.max(1);
+            && entry.attempt_count <= self.tuning.now().balancing.limits.max_attempts.max(1);
         let address = self.directory.address(server).filter(|_| allowed);
         let Some((address, descriptor)) =
             address.and_then(|address| Some((address, self.descriptors.take(Purpose::Served)?)))
--- a/node/src/exchange/session_driver.rs
+++ b/node/src/exchange/session_driver.rs
@@ -143,7 +143,7 @@
             }
             Command::Call { server, call } => {
                 let mut frame = Vec::new();
-                keep::write(&call, &mut frame);
+                keep::write_frame(&call, &mut frame);
                 let queued = self.links.borrow().get(&server).is_none_or(|link| link.outgoing.add(&frame));
                 if !queued {
                     // The queue of the link is full because the server has stopped reading.
@@ -153,7 +153,7 @@
             }
             Command::Proceed(request) => exchange.proceed(request),
             Command::Refuse { request, retry_after_ms } => {
-                let limits = &self.tuning.now().decisions.limits;
+                let limits = &self.tuning.now().balancing.limits;
                 let advised_ms =
                     if limits.retry_after { retry_after_ms.min(limits.max_retry_after_ms) } else { 0.0 };
                 tracing::debug!(event = "session_refused", request = request.0, retry_after_ms = advised_ms);
--- a/node/src/frontend/line.rs
+++ b/node/src/frontend/line.rs
@@ -189,7 +189,7 @@
             return Err(RejectReason::RetryLater(0.0));
         }
         let Some(descriptor) = self.descriptors.take(Purpose::Served) else {
-            let limits = &self.tuning.now().decisions.limits;
+            let limits = &self.tuning.now().balancing.limits;
             return Err(RejectReason::RetryLater(if limits.retry_after {
                 limits.max_retry_after_ms
             } else {
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -8,12 +8,14 @@
 mod succession;
 
 use crate::interface::*;
-use crate::variant::{Plant, Variant};
-use marllink_admission::Shares;
-use marllink_affinity::Sizes;
-use marllink_rate_limits::{Pace, Rate, Shortage, by_share, relief, whole};
-use marllink_retries::{Limiter, Ran};
-use marllink_server_state::{Command, Event as Asked, Held, Silence, Verdict};
+use crate::variant::{InjectedBug, Variant};
+use marllink_admission::TenantShares;
+use marllink_affinity::GroupSizes;
+use marllink_rate_limits::{
+    ConnectionLimit, Rate, SlowStartRate, choose_weighted, round_stochastic, select_to_shed,
+};
+use marllink_retries::{Limiter, PossibleExecution};
+use marllink_server_state::{Command, Event as Asked, ServerReport, UnresponsiveDetector, Verdict};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use rand_xoshiro::rand_core::{Rng, SeedableRng};
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -121,7 +123,7 @@
     /// Place among the servers that may be picked, or `NOWHERE`.
     place: usize,
     /// What a successor is told of it.
-    track: Track,
+    track: ServerHistory,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -161,7 +163,7 @@
     attempts: u8,
     /// Microseconds of work a second, once told.
     load: f64,
-    ran: Option<Ran>,
+    ran: Option<PossibleExecution>,
 }
 
 /// The decisions of one node.
@@ -186,15 +188,15 @@
     requests: FxHashMap<RequestId, Pending>,
     held: Vec<RequestId>,
     /// What a successor is told of the fleet.
-    fleet: Fleet,
+    fleet: FleetHistory,
     /// What servers have said of their load, and which picks wait for that.
-    reports: marllink_server_state::Knowledge<ServerId, Told>,
-    silence: Silence<ServerId>,
+    reports: marllink_server_state::ProbePool<ServerId, ReportedLoad>,
+    silence: UnresponsiveDetector<ServerId>,
     retries: Limiter,
     burst: Rate,
-    shares: Shares,
+    shares: TenantShares,
     /// Connections seen by group.
-    groups: Sizes,
+    groups: GroupSizes,
     variant: Variant,
     /// Own connections, a predecessor's among them.
     total: usize,
@@ -211,20 +213,20 @@
     /// first event should be the list of servers as last known, empty if there is none.
     #[must_use]
     pub fn new(settings: Settings, seed: u64, now: Millis) -> Self {
-        Self::varied(settings, seed, now, Variant::default())
+        Self::with_variant(settings, seed, now, Variant::default())
     }
 
     /// The same, but for what differs: for experiments.
     #[must_use]
-    pub fn varied(settings: Settings, seed: u64, now: Millis, variant: Variant) -> Self {
+    pub fn with_variant(settings: Settings, seed: u64, now: Millis, variant: Variant) -> Self {
         Self {
-            slow_aim: settings.slow_aim(),
-            reports: marllink_server_state::Knowledge::new(settings.asking()),
-            silence: Silence::default(),
+            slow_aim: settings.strictest_message_goal(),
+            reports: marllink_server_state::ProbePool::new(settings.probe_settings()),
+            silence: UnresponsiveDetector::default(),
             retries: Limiter::new(variant.retries.clone(), settings.nodes, now),
             burst: Rate::new(BURST_TAU_MS, now),
-            shares: Shares::new(settings.quotas(), settings.nodes),
-            groups: Sizes::default(),
+            shares: TenantShares::new(settings.tenant_quotas(), settings.nodes),
+            groups: GroupSizes::default(),
             variant,
             settings,
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
@@ -242,10 +244,10 @@
             least: 1.0,
             requests: FxHashMap::default(),
             held: Vec::new(),
-            fleet: Fleet {
-                rate: Rate::new(RATE_TAU_MS, now),
-                shortage: Shortage::new(now),
-                ..Fleet::default()
+            fleet: FleetHistory {
+                setup_rate: Rate::new(RATE_TAU_MS, now),
+                shortage: ConnectionLimit::new(now),
+                ..FleetHistory::default()
             },
             total: 0,
             out: FxHashSet::default(),
@@ -270,13 +272,13 @@
             Event::ServerList { kind, entries } => self.on_list(kind, &entries, out),
             Event::Maintenance { server, begins } => self.on_maintenance(server, begins, out),
             Event::Settings(settings) => {
-                self.slow_aim = settings.slow_aim();
-                self.retries.among(settings.nodes);
-                self.shares.retune(settings.quotas(), settings.nodes);
+                self.slow_aim = settings.strictest_message_goal();
+                self.retries.set_balancer_count(settings.nodes);
+                self.shares.update_quotas(settings.tenant_quotas(), settings.nodes);
                 self.settings = settings;
             }
             Event::TakeOver(knowledge) => self.take_over(knowledge),
-            Event::Elsewhere(holdings) => self.on_elsewhere(&holdings),
+            Event::PredecessorHoldings(holdings) => self.on_elsewhere(&holdings),
             Event::Request(request) => self.on_request(&request, out),
             Event::OpenConnection { request, server } => self.on_open(&request, server),
             Event::Established { request, attempt, .. } => self.on_established(request, attempt),
@@ -292,13 +294,13 @@
                 self.on_ended(request, attempt, outcome, closed, out);
             }
             Event::MessageDelay { request, delay_ms } => self.on_delay(request, delay_ms, out),
-            Event::Silent { server, sign } => self.on_silent(server, sign, out),
+            Event::Unresponsive { server, symptom: sign } => self.on_silent(server, sign, out),
             Event::Timer(TICK) => self.on_tick(out),
             Event::Timer(ASK) => out.push(Action::WatchList),
             Event::ClientGone(request) => self.on_client_gone(request, out),
             Event::AnswerNow(request) => self.answer_now(request, out),
             Event::ProbeResult { server, ok, report } => self.on_report(server, ok, &report, out),
-            Event::Timer(PATIENCE) => self.ask(Asked::Due, out),
+            Event::Timer(PATIENCE) => self.ask(Asked::Timeout, out),
             Event::Timer(_) | Event::PeerMessage { .. } => {}
         }
     }
@@ -306,7 +308,7 @@
     /// May an attempt at this server begin? One that was ready when it was picked may have been told to drain
     /// while its connection came up.
     #[must_use]
-    pub fn takes_new(&self, server: ServerId) -> bool {
+    pub fn accepts_new(&self, server: ServerId) -> bool {
         self.index.get(&server).is_some_and(|slot| self.servers[*slot].state == ServerState::Ready)
     }
 
@@ -348,13 +350,13 @@
 
     /// How warm a server is: 0 at its start, 1 when it must be warm.
     fn warmth(&self, slot: usize) -> f64 {
-        let warm_after = self.settings.rules.warm_after_ms.max(1.0);
+        let warm_after = self.settings.rules.warm_up_ms.max(1.0);
         (self.age(slot) / warm_after).min(1.0)
     }
 
     /// What a server can surely do, as a share of what it can do when warm.
     fn capacity(&self, slot: usize) -> f64 {
-        let cold_from = self.settings.rules.cold_from;
+        let cold_from = self.settings.rules.initial_capacity_ratio;
         cold_from + (1.0 - cold_from) * self.warmth(slot)
     }
 
@@ -367,7 +369,7 @@
         let others = self.ready_weight - weight;
         let mean = if others > 0.0 { (self.ready_open - open).max(0.0) / others * weight } else { 0.0 };
         let count = mean * (1.0 - warmth) + open * warmth;
-        whole(count * self.least / weight, self.uniform()) as f64 / self.least
+        round_stochastic(count * self.least / weight, self.uniform()) as f64 / self.least
     }
 
     /// Zone credit: where crossing zones has a price, servers of the own zone count as holding some
@@ -375,7 +377,7 @@
     fn zone_credit(&self, slot: usize) -> f64 {
         let s = &self.servers[slot];
         let price = if s.zone == self.settings.zone { self.settings.prices.cross_zone } else { 0.0 };
-        if self.variant.plant == Some(Plant::CreditByWeight) {
+        if self.variant.injected_bug == Some(InjectedBug::CreditByWeight) {
             return ZONE_CREDIT * 100.0 * price / s.weight;
         }
         // By the mean weight: a connection less must not count for more on a smaller server.
@@ -406,7 +408,7 @@
                     let credit = known.map_or(0.0, |at| {
                         GROUP_CREDIT * GROUP_FADE.powi((at + 1).saturating_sub(wide) as i32)
                     }) + if prefers { self.zone_credit(slot) } else { 0.0 };
-                    let mute = self.reports.mute(self.now, self.servers[slot].id);
+                    let mute = self.reports.is_unresponsive(self.now, self.servers[slot].id);
                     drawn.push((self.load(slot) + if mute { MUTE } else { -credit }, slot));
                 }
             }
@@ -436,7 +438,7 @@
         let weight = |d: &&(f64, usize)| if group == 0 { self.servers[d.1].weight } else { 1.0 };
         let weights: Vec<_> = drawn.iter().map(weight).collect();
         // One that is chosen twice stays so: it is asked once, and has two chances.
-        (0..ASKED).filter_map(|_| by_share(&weights, self.uniform())).map(|at| drawn[at].1).collect()
+        (0..ASKED).filter_map(|_| choose_weighted(&weights, self.uniform())).map(|at| drawn[at].1).collect()
     }
 
     /// The hosts where a group goes first, in the order in which all nodes find them, and how many of
@@ -446,9 +448,9 @@
             return (Vec::new(), 0);
         }
         let uniform = self.uniform();
-        let wide = self.groups.width(group, self.pickable.len(), uniform);
+        let wide = self.groups.server_count(group, self.pickable.len(), uniform);
         let of = |slot: &usize| (self.servers[*slot].id.0, self.servers[*slot].weight, *slot);
-        (marllink_affinity::first(group, self.pickable.iter().map(of), wide + GROUP_MORE), wide)
+        (marllink_affinity::top_servers(group, self.pickable.iter().map(of), wide + GROUP_MORE), wide)
     }
 
     /// The pick among them: by chance in proportion to the square of the room that they have. The one with
@@ -456,16 +458,16 @@
     fn pick(&mut self, pending: &Pending) -> Option<usize> {
         let room = |slot: &usize| {
             let (slot, id) = (*slot, self.servers[*slot].id);
-            let mute = pending.redrawn < MORE_DRAWS && self.reports.mute(self.now, id);
+            let mute = pending.redrawn < MORE_DRAWS && self.reports.is_unresponsive(self.now, id);
             if self.servers[slot].place == NOWHERE || mute || !self.may_run_on(pending, slot) {
                 return 0.0;
             }
-            let known = self.reports.known(self.now, id).is_some();
+            let known = self.reports.report(self.now, id).is_some();
             let load = if known { self.load_now(slot) } else { UNKNOWN_LOAD };
             if load >= BUSY_LOAD { 0.0 } else { (OVER_LOAD - load).powi(2) }
         };
         let rooms: Vec<_> = pending.drawn.iter().map(room).collect();
-        by_share(&rooms, self.uniform()).map(|at| pending.drawn[at])
+        choose_weighted(&rooms, self.uniform()).map(|at| pending.drawn[at])
     }
 
     /// First back: a server that the operators have put back gets one connection without a draw. They
@@ -499,13 +501,13 @@
         let until = self.now + for_ms;
         let server = &mut self.servers[slot];
         if server.place == NOWHERE {
-            server.track.out_until = server.track.out_until.max(until);
+            server.track.ejected_until = server.track.ejected_until.max(until);
             return;
         }
         if self.ejected.len() >= most {
             return;
         }
-        server.track.out_until = until;
+        server.track.ejected_until = until;
         let place = std::mem::replace(&mut server.place, NOWHERE);
         self.pickable.swap_remove(place);
         if let Some(moved) = self.pickable.get(place) {
@@ -521,33 +523,33 @@
     /// A server has failed: it is out for a while, unless as many are as `most`.
     fn on_failure(&mut self, slot: usize, most: usize) {
         let server = &mut self.servers[slot];
-        if self.now - server.track.failed_at < SAME_FAILURE_MS {
+        if self.now - server.track.last_failure_at < SAME_FAILURE_MS {
             return;
         }
-        server.track.failed_at = self.now;
-        if self.now > server.track.out_until + FORGIVE_MS {
-            server.track.failures = 0;
+        server.track.last_failure_at = self.now;
+        if self.now > server.track.ejected_until + FORGIVE_MS {
+            server.track.consecutive_failures = 0;
         }
-        let for_ms = EJECT_MS * f64::from(1u32 << server.track.failures.min(8));
-        server.track.failures += 1;
+        let for_ms = EJECT_MS * f64::from(1u32 << server.track.consecutive_failures.min(8));
+        server.track.consecutive_failures += 1;
         let spread = 0.75 + 0.5 * self.uniform();
         self.eject(slot, for_ms.min(MAX_EJECT_MS) * spread, most);
     }
 
     /// A server that has fallen silent serves nobody: its clients find another sooner than it comes back.
-    fn on_silent(&mut self, id: ServerId, sign: Sign, out: &mut Vec<Action>) {
+    fn on_silent(&mut self, id: ServerId, sign: Symptom, out: &mut Vec<Action>) {
         let Some(&slot) = self.index.get(&id) else { return };
-        match self.silence.note(self.now, id, sign) {
-            Verdict::Silent => {
+        match self.silence.record(self.now, id, sign) {
+            Verdict::Unresponsive => {
                 let (zone, own) = (self.servers[slot].zone, self.servers[slot].connections.clone());
                 self.move_these(slot, own, out);
                 self.on_failure(slot, self.ready.saturating_sub(1));
                 let near = self.servers.iter().filter(|s| s.zone == zone && !s.connections.is_empty());
                 let near: Vec<_> = near.map(|s| s.id).collect();
-                near.into_iter().for_each(|id| self.on_silent(id, Sign::Neighbour, out));
+                near.into_iter().for_each(|id| self.on_silent(id, Symptom::NeighbourUnresponsive, out));
             }
-            Verdict::Doubtful if self.may_ask() => self.ask(Asked::Doubted(id), out),
-            Verdict::Doubtful | Verdict::Nothing => {}
+            Verdict::Suspect if self.may_ask() => self.ask(Asked::Suspected(id), out),
+            Verdict::Suspect | Verdict::Unchanged => {}
         }
     }
 
@@ -560,9 +562,10 @@
         }
         let slot = pending.slot;
         let server = &mut self.servers[slot];
-        let excess = server.track.strain.note(self.now, delay_ms, self.slow_aim, f64::from(server.open));
-        let planted = self.variant.plant == Some(Plant::MoveWhenAllSlow);
-        self.move_some(slot, if planted { excess / marllink_rebalancing::MOVED_SHARE } else { excess }, out);
+        let excess =
+            server.track.strain.record_delay(self.now, delay_ms, self.slow_aim, f64::from(server.open));
+        let planted = self.variant.injected_bug == Some(InjectedBug::MoveWhenAllSlow);
+        self.move_some(slot, if planted { excess / marllink_rebalancing::MOVED_RATIO } else { excess }, out);
     }
 
     /// True if a server must take nothing new: messages on it are slow, or it is at its limit.
@@ -572,8 +575,10 @@
         let mean = self.ready_open / self.warm_weight.max(f64::MIN_POSITIVE) * s.weight;
         let bound = if self.may_ask() { NO_LIMIT } else { MEAN_BOUND * mean + 1.0 };
         // Between whole numbers they hold on the mean over nodes and tries.
-        let room = s.track.strain.limit(self.now).min(bound) + some;
-        s.track.strain.hot(self.now) || self.load_now(slot) >= BUSY_LOAD || f64::from(s.open) + 1.0 > room
+        let room = s.track.strain.connection_limit(self.now).min(bound) + some;
+        s.track.strain.is_overloaded(self.now)
+            || self.load_now(slot) >= BUSY_LOAD
+            || f64::from(s.open) + 1.0 > room
     }
 
     fn may_ask(&self) -> bool {
@@ -586,17 +591,17 @@
         if self.may_ask() {
             let own = |s: &&Server| s.state == ServerState::Ready && !s.connections.is_empty();
             let hosts = self.servers.iter().filter(own).map(|s| s.id).collect();
-            self.ask(Asked::Review(hosts), out);
+            self.ask(Asked::Refresh(hosts), out);
         }
     }
 
-    fn ask(&mut self, event: Asked<ServerId, Told>, out: &mut Vec<Action>) {
+    fn ask(&mut self, event: Asked<ServerId, ReportedLoad>, out: &mut Vec<Action>) {
         let mut commands = Vec::new();
         self.reports.handle(self.now, event, &mut commands);
         for command in commands {
             match command {
-                Command::Ask(id) => out.push(Action::Probe(id)),
-                Command::Go(id) => self.go(RequestId(id), out),
+                Command::Probe(id) => out.push(Action::Probe(id)),
+                Command::Proceed(id) => self.go(RequestId(id), out),
             }
         }
     }
@@ -610,12 +615,18 @@
         let held = self.settings.report_fields.iter().position(|f| *f == ReportField::InFlight);
         let held = held.and_then(|at| report.get(at)).map_or(0.0, |x| f64::from(*x));
         let (own, own_load) = server.loads[REPORT_AGE - 1];
-        let told = load.map(|load| Told { load, own: own_load });
-        ok.then(|| self.silence.heard(id));
+        let told = load.map(|load| ReportedLoad { load, own_load: own_load });
+        ok.then(|| self.silence.clear(id));
         if let Some(load) = load {
-            self.fleet.carrying.learn(&Held { weight: server.weight, load, held, own, own_load });
+            self.fleet.capacity.record(&ServerReport {
+                weight: server.weight,
+                utilization: load,
+                connections: held,
+                own_connections: own,
+                own_load,
+            });
         }
-        self.ask(Asked::Answered { host: id, report: told }, out);
+        self.ask(Asked::ProbeCompleted { server: id, report: told }, out);
     }
 
     /// A server's load over what it can do as of now: as last reported, and what the own connections
@@ -623,9 +634,9 @@
     /// fill a server that looks idle.
     fn load_now(&self, slot: usize) -> f64 {
         let s = &self.servers[slot];
-        let Some(told) = self.reports.known(self.now, s.id) else { return 0.0 };
-        let capacity = self.fleet.carrying.load() * s.weight;
-        let since = if capacity > 0.0 { (s.load - told.own) / capacity } else { 0.0 };
+        let Some(told) = self.reports.report(self.now, s.id) else { return 0.0 };
+        let capacity = self.fleet.capacity.load_per_weight() * s.weight;
+        let since = if capacity > 0.0 { (s.load - told.own_load) / capacity } else { 0.0 };
         told.load + since
     }
 
@@ -636,10 +647,10 @@
             server.loads.rotate_right(1);
             let own = server.connections.len() as f64 + f64::from(server.elsewhere.0);
             server.loads[0] = (own, server.load);
-            let due = own > 0.0 && server.track.relieve_at <= self.now;
+            let due = own > 0.0 && server.track.next_rebalance_at <= self.now;
             let load = if due { self.load_now(slot) } else { 0.0 };
             if load >= OVER_LOAD {
-                self.servers[slot].track.relieve_at = self.now + RELIEF_MS;
+                self.servers[slot].track.next_rebalance_at = self.now + RELIEF_MS;
                 self.relieve(slot, 1.0 - BUSY_LOAD / load, out);
             }
         }
@@ -652,7 +663,7 @@
             if s.state == ServerState::Draining && !s.connections.is_empty() {
                 let part = TICK_MS / (s.leave_by - self.now).max(TICK_MS);
                 let count = s.connections.len() as f64 * part;
-                let at_once = self.variant.plant == Some(Plant::LeaveAtOnce);
+                let at_once = self.variant.injected_bug == Some(InjectedBug::DrainAtLeastOne);
                 self.move_some(slot, if at_once { count.ceil() } else { count }, out);
             }
         }
@@ -662,14 +673,14 @@
     fn relieve(&mut self, slot: usize, share: f64, out: &mut Vec<Action>) {
         let own = self.own_by_weight(slot);
         let loads: Vec<_> = own.iter().map(|id| self.requests.get(id).map_or(0.0, |p| p.load)).collect();
-        let chosen = relief(&loads, share, || self.uniform());
+        let chosen = select_to_shed(&loads, share, || self.uniform());
         self.move_these(slot, chosen.into_iter().map(|at| own[at]).collect(), out);
     }
 
     /// Relief: moves some of the own connections away from a server that cannot carry them,
     /// heaviest for its worth first, as those relieve it most for each client disturbed.
     fn move_some(&mut self, slot: usize, excess: f64, out: &mut Vec<Action>) {
-        let count = whole(excess, self.uniform());
+        let count = round_stochastic(excess, self.uniform());
         if count == 0 {
             return;
         }
@@ -706,7 +717,7 @@
         }
         self.tick_at = self.now + TICK_MS;
         out.push(Action::SetTimer { delay_ms: TICK_MS, token: TICK });
-        let over = |slot: &usize| self.servers[*slot].track.out_until <= self.now;
+        let over = |slot: &usize| self.servers[*slot].track.ejected_until <= self.now;
         let (back, out_yet): (Vec<_>, Vec<_>) = self.ejected.iter().partition(|slot| over(slot));
         self.ejected = out_yet;
         for slot in back {
@@ -717,7 +728,7 @@
         self.leave_draining(out);
         self.relieve_over(out);
         self.ask_due(out);
-        if self.fleet.shortage.due(self.now) {
+        if self.fleet.shortage.review_due(self.now) {
             self.weigh_warm();
             self.fleet.shortage.review(self.now, self.total as f64, self.on_hot());
         }
@@ -739,7 +750,7 @@
     /// Own connections on servers that have more than they can do: what tells a general overload.
     fn on_hot(&self) -> f64 {
         let hot = |slot: &usize| {
-            self.servers[*slot].track.strain.hot(self.now) || self.load_now(*slot) >= OVER_LOAD
+            self.servers[*slot].track.strain.is_overloaded(self.now) || self.load_now(*slot) >= OVER_LOAD
         };
         let own = (0..self.servers.len()).filter(|slot| !self.servers[*slot].connections.is_empty());
         let hot = own.filter(hot).map(|slot| self.servers[slot].connections.len());
@@ -756,40 +767,42 @@
         if warmth >= 1.0 {
             return true;
         }
-        let alone = self.variant.plant == Some(Plant::ColdSum);
+        let alone = self.variant.injected_bug == Some(InjectedBug::ColdBudgetNotDivided);
         let nodes = if alone { 1.0 } else { f64::from(self.settings.nodes.max(1)) };
         let uniform = self.uniform();
         let (rules, s) = (&self.settings.rules, &self.servers[slot]);
-        let idle = self.reports.known(self.now, s.id).is_some() && self.load_now(slot) < COLD_IDLE;
+        let idle = self.reports.report(self.now, s.id).is_some() && self.load_now(slot) < COLD_IDLE;
         let margin = if idle { COLD_IDLE_MARGIN } else { COLD_MARGIN };
-        let most = rules.tip_multiple * margin * self.capacity(slot) * s.weight;
-        let pace = Pace {
+        let most = rules.collapse_load_ratio * margin * self.capacity(slot) * s.weight;
+        let pace = SlowStartRate {
             // What would fill the server in its time to warm up, as far as reports tell that: refused
             // clients add nothing to the own rate. All nodes together send that much.
-            part: most * self.fleet.carrying.connections() / rules.warm_after_ms.max(1.0) / nodes,
-            usual: most * self.fleet.rate.at(self.now),
-            lately: s.weight * self.burst.at(self.now),
-            window_ms: rules.overload_for_ms,
-            wanted,
+            share_per_ms: most * self.fleet.capacity.connections_per_weight()
+                / rules.warm_up_ms.max(1.0)
+                / nodes,
+            baseline_per_ms: most * self.fleet.setup_rate.per_ms(self.now),
+            recent_per_ms: s.weight * self.burst.per_ms(self.now),
+            window_ms: rules.collapse_after_ms,
+            demand: wanted,
         };
         self.servers[slot].track.budget.allows(self.now, &pace, uniform)
     }
 
     // ---- Request life ---------------------------------------------------------------------------
 
-    fn effect(&self, class: ClassId) -> Effect {
-        self.settings.classes.get(usize::from(class.0)).map_or(Effect::Safe, |c| c.effect)
+    fn effect(&self, class: ClassId) -> Idempotency {
+        self.settings.classes.get(usize::from(class.0)).map_or(Idempotency::Safe, |c| c.idempotency)
     }
 
     /// By class, and whether its tenant is above its share.
     fn worth(&self, pending: &Pending) -> f64 {
-        let above = self.shares.above(pending.tenant.0, 0.0);
-        let worth = self.settings.classes.get(usize::from(pending.class.0)).map_or(1.0, |c| c.worth);
-        (worth * if above { self.settings.over_share_worth } else { 1.0 }).max(0.01)
+        let above = self.shares.exceeds_share(pending.tenant.0, 0.0);
+        let worth = self.settings.classes.get(usize::from(pending.class.0)).map_or(1.0, |c| c.value);
+        (worth * if above { self.settings.over_quota_value_ratio } else { 1.0 }).max(0.01)
     }
 
     fn aim(&self, class: ClassId) -> Millis {
-        self.settings.classes.get(usize::from(class.0)).map_or(0.0, |c| c.aim_ms)
+        self.settings.classes.get(usize::from(class.0)).map_or(0.0, |c| c.setup_goal_ms)
     }
 
     fn on_request(&mut self, new: &NewRequest, out: &mut Vec<Action>) {
@@ -797,8 +810,8 @@
             return;
         }
         let pending = self.pending(new, NOWHERE);
-        self.groups.seen(pending.group);
-        self.retries.first(self.now);
+        self.groups.record(pending.group);
+        self.retries.record_request(self.now);
         self.attempt(new.request, pending, out);
     }
 
@@ -806,7 +819,7 @@
         Pending {
             class: new.class,
             tenant: new.tenant,
-            group: if self.settings.groups { new.group } else { 0 },
+            group: if self.settings.group_affinity { new.group } else { 0 },
             phase: Phase::Held,
             tried: [NOWHERE; 2],
             erred: Vec::new(),
@@ -841,7 +854,7 @@
         };
         let (phase, deadline, attempts) = (Phase::Open, f64::INFINITY, 1);
         let pending = Pending { phase, deadline, attempts, ..self.pending(new, slot) };
-        self.groups.seen(pending.group);
+        self.groups.record(pending.group);
         self.add_open(slot, 1);
         self.servers[slot].connections.push(new.request);
         self.shares.opened(new.tenant.0);
@@ -852,7 +865,7 @@
     /// May the next attempt go to this server?
     fn may_run_on(&self, pending: &Pending, slot: usize) -> bool {
         let server = &self.servers[slot];
-        self.effect(pending.class).may_run_on(self.now, pending.ran, server.zone.0, server.cell.0)
+        self.effect(pending.class).may_execute_on(self.now, pending.ran, server.zone.0, server.cell.0)
     }
 
     /// Draws servers for the next attempt and asks for their load, or holds the request, or gives its
@@ -863,8 +876,8 @@
         let over = left < LEAST_LEFT_MS
             || tries_left == 0
             || !self.effect(pending.class).may_repeat(self.now, pending.ran);
-        let above = self.shares.refuses(self.now, pending.tenant.0);
-        if over || above || self.throttled(&pending) || self.fleet.shortage.full(self.total, uniform) {
+        let above = self.shares.rejects(self.now, pending.tenant.0);
+        if over || above || self.throttled(&pending) || self.fleet.shortage.is_reached(self.total, uniform) {
             self.answer(id, &pending, out);
             return;
         }
@@ -876,10 +889,13 @@
             self.go(id, out);
             return;
         }
-        self.ask(Asked::Wanted { pick: id.0, hosts }, out);
+        self.ask(Asked::PickRequested { pick: id.0, servers: hosts }, out);
         // Also where others have asked already: their question may get no answer.
-        if self.reports.due().is_some() {
-            out.push(Action::SetTimer { delay_ms: self.settings.asking().patience_ms, token: PATIENCE });
+        if self.reports.next_timeout().is_some() {
+            out.push(Action::SetTimer {
+                delay_ms: self.settings.probe_settings().pick_timeout_ms,
+                token: PATIENCE,
+            });
         }
     }
 
@@ -909,7 +925,7 @@
         let left = pending.deadline - self.now;
         let tries_left = self.settings.limits.max_attempts.saturating_sub(pending.attempts);
         // Half of the time stays for another server, unless the aim takes more or none may follow.
-        let another = tries_left > 1 && self.effect(pending.class) != Effect::Unsafe;
+        let another = tries_left > 1 && self.effect(pending.class) != Idempotency::Unsafe;
         let timeout_ms = if another && left / 2.0 >= self.aim(pending.class) / 2.0 {
             (left / 2.0).max(self.aim(pending.class)).min(left)
         } else {
@@ -919,8 +935,8 @@
         self.add_open(slot, 1);
         self.servers[slot].track.budget.spend();
         self.burst.add(self.now, self.per_warm());
-        self.reports.handle(self.now, Asked::Used(self.servers[slot].id), &mut Vec::new());
-        self.retries.sent();
+        self.reports.handle(self.now, Asked::ReportUsed(self.servers[slot].id), &mut Vec::new());
+        self.retries.record_attempt();
         pending.phase = Phase::Trying;
         pending.redrawn = 0;
         pending.tried = [slot, pending.tried[0]];
@@ -933,10 +949,10 @@
     /// Throttle: refuses part of the attempts while many fail, as more of them only feed the cause.
     fn throttled(&mut self, pending: &Pending) -> bool {
         let uniform = self.uniform();
-        if pending.redrawn > 0 || self.variant.plant == Some(Plant::RetryStorm) {
+        if pending.redrawn > 0 || self.variant.injected_bug == Some(InjectedBug::RetryStorm) {
             return false;
         }
-        let limit = if pending.attempts == 0 { Limiter::allows } else { Limiter::allows_again };
+        let limit = if pending.attempts == 0 { Limiter::allows_first } else { Limiter::allows_retry };
         !limit(&mut self.retries, self.now, uniform)
     }
 
@@ -950,8 +966,8 @@
 
     /// Refused says that trying again is harmless: not where one may have run that must not run twice.
     fn refuse_or_fail(&self, id: RequestId, pending: &Pending, retry_after_ms: Millis) -> Action {
-        let harmless = self.effect(pending.class).harmless(pending.ran);
-        if harmless { Action::Refuse { request: id, retry_after_ms } } else { Action::Fail(id) }
+        let harmless = self.effect(pending.class).client_may_retry(pending.ran);
+        if harmless { Action::Reject { request: id, retry_after_ms } } else { Action::Fail(id) }
     }
 
     /// The final answer when nothing more can be waited for. An attempt that is out may run yet.
@@ -959,7 +975,8 @@
         let Some(pending) = self.requests.get_mut(&id) else { return };
         if pending.phase == Phase::Trying {
             let server = &self.servers[pending.slot];
-            let sent = Ran { at: pending.sent_at, zone: server.zone.0, cell: server.cell.0 };
+            let sent =
+                PossibleExecution { sent_at: pending.sent_at, zone: server.zone.0, cell: server.cell.0 };
             pending.ran = pending.ran.or(Some(sent));
         }
         if !matches!(pending.phase, Phase::Open | Phase::Over) {
@@ -1007,10 +1024,10 @@
         // Where loads are told they say more, and a set-up across zones may take as long on a sound host.
         let aim = if self.may_ask() { f64::INFINITY } else { self.slow_aim };
         let server = &mut self.servers[slot];
-        server.track.strain.came_up(self.now, took_ms, aim, f64::from(server.open));
-        self.retries.stood(self.now, took_ms);
-        self.reports.handle(self.now, Asked::Paid, &mut Vec::new());
-        self.fleet.rate.add(self.now, self.per_warm());
+        server.track.strain.record_connect(self.now, took_ms, aim, f64::from(server.open));
+        self.retries.record_success(self.now, took_ms);
+        self.reports.handle(self.now, Asked::RefreshCredited, &mut Vec::new());
+        self.fleet.setup_rate.add(self.now, self.per_warm());
         self.blame(&erred, true);
     }
 
@@ -1018,10 +1035,10 @@
     /// itself at fault: its servers must not be left out for it, and it counts as one failure.
     fn blame(&mut self, erred: &[usize], stood: bool) {
         if stood || erred.len() == 1 {
-            self.retries.failed(self.now, erred.len() as f64);
+            self.retries.record_failures(self.now, erred.len() as f64);
             erred.iter().for_each(|slot| self.on_failure(*slot, self.most_ejected()));
         } else if !erred.is_empty() {
-            self.retries.failed(self.now, 1.0);
+            self.retries.record_failures(self.now, 1.0);
         }
     }
 
@@ -1053,7 +1070,7 @@
             // Nobody is there: that is no cause which servers share, and all but one may be out for it.
             Outcome::ConnectFailed => self.on_failure(slot, self.ready.saturating_sub(1)),
             Outcome::Error | Outcome::Full | Outcome::TimedOut | Outcome::Reset => {
-                self.retries.failed(self.now, f64::from(u8::from(pending.phase == Phase::Trying)));
+                self.retries.record_failures(self.now, f64::from(u8::from(pending.phase == Phase::Trying)));
                 self.on_failure(slot, self.most_ejected());
             }
         }
@@ -1063,7 +1080,11 @@
         }
         if !outcome.never_ran() && pending.ran.is_none() {
             let server = &self.servers[slot];
-            pending.ran = Some(Ran { at: pending.sent_at, zone: server.zone.0, cell: server.cell.0 });
+            pending.ran = Some(PossibleExecution {
+                sent_at: pending.sent_at,
+                zone: server.zone.0,
+                cell: server.cell.0,
+            });
         }
         if pending.phase == Phase::Open && outcome != Outcome::Ok {
             // A broken stream has ended for its client; nothing may follow it.
@@ -1075,8 +1096,8 @@
             self.answer(id, &pending, out);
             return;
         }
-        let wait = Limiter::wait_ms(usize::from(pending.attempts), self.uniform());
-        let storm = self.variant.plant == Some(Plant::RetryStorm);
+        let wait = Limiter::backoff_ms(usize::from(pending.attempts), self.uniform());
+        let storm = self.variant.injected_bug == Some(InjectedBug::RetryStorm);
         if wait > TICK_MS && self.now + wait + 2.0 * TICK_MS < pending.deadline && !storm {
             pending.phase = Phase::Held;
             pending.again_at = self.now + wait;
@@ -1093,7 +1114,7 @@
             Phase::Held | Phase::Asking => {
                 let erred = std::mem::take(&mut pending.erred);
                 self.requests.remove(&id);
-                self.reports.handle(self.now, Asked::Withdrawn(id.0), &mut Vec::new());
+                self.reports.handle(self.now, Asked::PickCancelled(id.0), &mut Vec::new());
                 self.blame(&erred, false);
             }
             Phase::Trying | Phase::Open => {
