--- a/node/src/core.rs
+++ b/node/src/core.rs
@@ -85,7 +85,7 @@
     }
 
     /// Returns what the balancer has learned, for the successor process.
-    pub fn knowledge(&self) -> LearnedState {
+    pub fn learned_state(&self) -> LearnedState {
         LearnedState { now: self.clock.now(), ..self.balancer.borrow().learned_state() }
     }
 
--- a/node/src/operations/handover.rs
+++ b/node/src/operations/handover.rs
@@ -431,7 +431,7 @@
             discovery: self.discovery.address(),
             list: self.discovery.list(),
             addresses: self.directory.all(),
-            knowledge: Some(self.core.knowledge()),
+            knowledge: Some(self.core.learned_state()),
             holds,
         }
     }
--- a/node/src/operations/maintenance.rs
+++ b/node/src/operations/maintenance.rs
@@ -152,7 +152,7 @@
     }
 
     fn out(of: &Maintenance) -> Vec<ServerId> {
-        let mut out = of.core.knowledge().in_maintenance;
+        let mut out = of.core.learned_state().in_maintenance;
         out.sort_unstable();
         out
     }
