--- a/node/src/core.rs
+++ b/node/src/core.rs
@@ -72,8 +72,8 @@
         *self.membership.borrow_mut() = Some(membership);
     }
 
-    /// Returns the number for a new request, which is never reused.
-    pub fn number_request(&self) -> RequestId {
+    /// Returns the id for a new request, which is never reused.
+    pub fn next_request_id(&self) -> RequestId {
         let id = self.next_request.get();
         self.next_request.set(id + 1);
         RequestId(id)
@@ -89,8 +89,8 @@
         LearnedState { now: self.clock.now(), ..self.balancer.borrow().learned_state() }
     }
 
-    /// Returns true if an attempt at this server may start now. Must not be called while the balancer handles
-    /// an event.
+    /// Returns true if an attempt at this server may start now. Must not be called while an action is
+    /// executed.
     pub fn accepts_new(&self, server: ServerId) -> bool {
         self.balancer.borrow().accepts_new(server)
     }
@@ -242,7 +242,7 @@
     }
 
     fn request(core: &Core) -> Event {
-        let request = core.number_request();
+        let request = core.next_request_id();
         Event::Request(NewRequest { request, time_left_ms: 2_000.0, ..NewRequest::default() })
     }
 
--- a/node/src/exchange/mod.rs
+++ b/node/src/exchange/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! It owns each request from its first line to its end: the attempt that is active for it, whether it has
 //! had its one final answer, and the rings between its two sockets. The client side holds a
-//! [`RequestHandle`] and the server side an [`AttemptHandle`]; dropping a handle releases what it stands
-//! for, no matter how its task ended.
+//! [`RequestHandle`] and the server side an [`AttemptHandle`]; dropping a handle reports that its side
+//! is done, no matter how its task ended.
 
 mod commands;
 mod handles;
@@ -223,8 +223,8 @@
                 () = self.clock.sleep(wait_ms) => return Err("unknown server"),
             }
         }
-        let id = self.core.number_request();
-        let new = NewRequest {
+        let id = self.core.next_request_id();
+        let new_request = NewRequest {
             request: id,
             class: ClassId(class),
             tenant: TenantId(tenant),
@@ -232,7 +232,7 @@
             retry: opening.retry,
             group: opening.group,
         };
-        let time_left_ms = new.time_left_ms;
+        let time_left_ms = new_request.time_left_ms;
         let session = opening.session.as_ref().map(|(text, _)| text.clone());
         pipe.has_session.set(session.is_some());
         let entry = RequestEntry {
@@ -244,7 +244,7 @@
             active_attempt: None,
             next_attempt: None,
             handle_held: true,
-            session_request: session.is_some().then(|| new.clone()),
+            session_request: session.is_some().then(|| new_request.clone()),
             received_at: self.clock.now(),
             record: RequestRecord::new(self.clock.now()),
         };
@@ -254,9 +254,9 @@
                 let ask = if text == "new" { Ask::New } else { Ask::Resume(text.into_bytes()) };
                 session_driver.feed(SessionEvent::Begin { request: id, ask, wait_ms: time_left_ms });
             }
-            (None, ..) => self.core.feed(Event::Request(new)),
+            (None, ..) => self.core.feed(Event::Request(new_request)),
             (Some(server), ..) => {
-                self.core.feed(Event::OpenConnection { request: new, server });
+                self.core.feed(Event::OpenConnection { request: new_request, server });
                 self.send(id, server, time_left_ms);
             }
         }
@@ -401,7 +401,7 @@
         let class_id = names.classes.id_including_withdrawn(&class);
         let tenant_id = tenant.as_ref().and_then(|tenant| names.tenants.id_including_withdrawn(tenant));
         let (request, exchange) = (
-            self.core.number_request(),
+            self.core.next_request_id(),
             self.weak_self.upgrade().expect("the exchange is alive while it is borrowed"),
         );
         let pipe = Pipe::new();
@@ -424,12 +424,12 @@
         };
         pipe.has_session.set(session.is_some());
         self.entries.borrow_mut().insert(request, entry);
-        // A class that was removed from the settings before this process started has no number; an
-        // out-of-range number makes the balancer use its defaults.
+        // A class that was removed from the settings before this process started has no id; an
+        // out-of-range id makes the balancer use its defaults.
         let class = ClassId(class_id.unwrap_or(u16::MAX));
         let tenant = TenantId(tenant_id.unwrap_or(u16::MAX));
-        let new = NewRequest { request, class, tenant, group, ..NewRequest::default() };
-        self.core.feed(Event::OpenConnection { request: new, server });
+        let new_request = NewRequest { request, class, tenant, group, ..NewRequest::default() };
+        self.core.feed(Event::OpenConnection { request: new_request, server });
         self.core.feed(Event::ConnectionLoad { request, load });
         if let (Some(passed), Some(session_driver)) = (session, &self.session_driver) {
             session_driver.feed(SessionEvent::Adopt { request, server, passed });
--- a/node/src/frontend/line.rs
+++ b/node/src/frontend/line.rs
@@ -156,7 +156,7 @@
                 tokio::select! {
                     biased;
                     () = evicted => {
-                        // A newer connection waits for this slot; a line this short fits in any socket buffer.
+                        // A newer connection waits for the slot. A line this short fits in any socket buffer.
                         pump::write_now(&stream, line.as_bytes());
                         let _ = SockRef::from(&stream).shutdown(Shutdown::Write);
                         pump::drop_unread(&stream);
@@ -197,7 +197,8 @@
             }));
         };
         if opening.at.is_some() {
-            // A connection that is restored may have to wait for its server and must not be evicted meanwhile.
+            // A client whose connection is restored may have to wait for its server; it must not be evicted
+            // meanwhile.
             slot.release();
         }
         let left_ms = opening_deadline - self.clock.now();
@@ -293,7 +294,8 @@
                     return;
                 }
                 Filled::DirectionEnded => {
-                    // The connection to the server has ended: only what the server sent last is still delivered.
+                    // The connection to the server has ended: only the data already received from the server is
+                    // still delivered.
                     client_sending = false;
                     self.clock.within(LINGER_MS, &mut writing).await.unwrap_or(false)
                 }
@@ -308,8 +310,8 @@
                 Some(Filled::DirectionEnded) | None => {}
             }
         }
-        // The connection to the server has ended. Further input of the client is discarded, but the client must
-        // still receive its closing message.
+        // The connection to the server has ended. Further input of the client is discarded, but the client
+        // must still receive its closing message.
         if !pipe.server_to_client.broken() && !pipe.handed_over() {
             self.drain_input(stream, REJECTED_CLOSE_TIMEOUT_MS - OPENING_TIMEOUT_MS).await;
         }
--- a/node/src/serve.rs
+++ b/node/src/serve.rs
@@ -89,8 +89,8 @@
     };
     let listen = match &configured {
         Ok(config) => Some(config.listen),
-        // The configuration of the predecessor may be used instead; the address under which it can be found is
-        // also in the environment.
+        // The configuration of the predecessor may be used instead; the address by which it is found may
+        // also be set in the environment.
         Err(_) => env_var("NODE_LISTEN").and_then(|text| text.parse().ok()),
     };
     let handover_path = listen.map(handover::path);
