--- a/node/src/cli.rs
+++ b/node/src/cli.rs
@@ -10,66 +10,66 @@
 
 /// A load balancer for long-lived connections.
 ///
-/// Without a command it serves: the environment names its configuration (NODE_CONFIG, NODE_LISTEN,
-/// NODE_DISCOVERY, NODE_ADMIN), and README.md tells more.
+/// Without a command, it serves clients. Environment variables specify the configuration (NODE_CONFIG,
+/// NODE_LISTEN, NODE_DISCOVERY, NODE_ADMIN); see README.md for details.
 #[derive(Debug, Parser)]
 #[command(name = "marllink", version)]
 struct Cli {
     #[command(subcommand)]
     command: Option<Command>,
-    /// The operators' file, which switches on what is off by default. MARLLINK_OPERATORS comes first.
+    /// The operators' file, which enables optional features. MARLLINK_OPERATORS takes precedence.
     #[arg(long, value_name = "FILE")]
     operators: Option<PathBuf>,
-    /// How the log is written, to standard error.
+    /// Format of the log on standard error.
     #[arg(long, value_enum, default_value_t = LogFormat::Text, env = "MARLLINK_LOG_FORMAT")]
     log_format: LogFormat,
 }
 
 #[derive(Clone, Copy, Debug, ValueEnum)]
 enum LogFormat {
-    /// Lines to read.
+    /// Human-readable lines.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Check an operators' file and the files that it names; or a balancer's configuration, and say which parts
-    /// of the decisions are in force under it, and which are off and why.
+    /// Check an operators' file and the files that it names, or a balancer's configuration. For a
+    /// configuration, list which parts of the decision logic are enabled, and why the others are disabled.
     Check {
-        /// The file.
+        /// The file to check.
         file: PathBuf,
-        /// Print the parts as JSON.
+        /// Print the list of parts as JSON.
         #[arg(long)]
         json: bool,
     },
     /// Print the JSON schema of the operators' file.
     Schema,
-    /// Look at tokens.
+    /// Inspect session tokens.
     Token {
         #[command(subcommand)]
         command: TokenCommand,
     },
-    /// Look at what a balancer keeps on disk, and tidy it up.
+    /// Inspect and compact the state that a balancer keeps on disk.
     State {
         #[command(subcommand)]
         command: StateCommand,
     },
-    /// Print what a shell needs to complete this command line.
+    /// Print a completion script for a shell.
     Completions {
-        /// Which shell.
+        /// The shell.
         shell: clap_complete::Shell,
     },
 }
 
 #[derive(Debug, Subcommand)]
 enum TokenCommand {
-    /// Print what a token says, and whether it is good now. Keys are never printed.
+    /// Print the contents of a token and whether it is valid now. Keys are never printed.
     Inspect {
-        /// The token: what stands after `TOKEN ` in the line that brought it.
+        /// The token: the text after `TOKEN ` in the line that delivered it.
         token: String,
-        /// The key file that it was sealed by.
+        /// The file with the key that sealed the token.
         #[arg(long, value_name = "FILE")]
         keys: PathBuf,
     },
@@ -77,32 +77,32 @@
 
 #[derive(Debug, Subcommand)]
 enum StateCommand {
-    /// Print what is in force in a folder, a line for each thing, and how old it is.
+    /// Print the current records in a folder, one per line, with their ages.
     Show {
-        /// The folder.
+        /// The state folder.
         folder: PathBuf,
     },
-    /// Check a folder; fails if a part is damaged.
+    /// Check a folder for damage; fails if a part is damaged.
     Check {
-        /// The folder.
+        /// The state folder.
         folder: PathBuf,
     },
-    /// Print all that is in force as JSON.
+    /// Print all current records as JSON.
     Export {
-        /// The folder.
+        /// The state folder.
         folder: PathBuf,
     },
-    /// Write the log anew without what is outdated or damaged; while a balancer writes it, that is refused.
+    /// Rewrite the log without outdated and damaged records; refused while a balancer is writing it.
     Compact {
-        /// The folder.
+        /// The state folder.
         folder: PathBuf,
     },
 }
 
-/// Does what the command line says.
+/// Runs the command given on the command line.
 pub fn main() -> ExitCode {
     let cli = Cli::parse();
-    let done = match cli.command {
+    let result = match cli.command {
         None => {
             let json_log = matches!(cli.log_format, LogFormat::Json);
             return serve(&Options { operators: cli.operators, json_log });
@@ -116,7 +116,7 @@
             return ExitCode::SUCCESS;
         }
     };
-    match done {
+    match result {
         Ok(text) => {
             println!("{text}");
             ExitCode::SUCCESS
@@ -131,34 +131,35 @@
 fn check(file: &Path, json: bool) -> Result<String, String> {
     let name = file.display();
     let text = std::fs::read(file).map_err(|e| format!("{name}: {e}"))?;
-    // An operators' file has no settings; what is no JSON at all is told of as one.
+    // An operators' file has no settings. A file that is not valid JSON is reported as an operators' file.
     let value = serde_json::from_slice::<serde_json::Value>(&text).unwrap_or_default();
     if value.get("settings").is_some() {
         return check_configuration(&name.to_string(), &text, json);
     }
     let features = features::load(Some(file))?;
     let Operators { sessions, store } = &features.operators;
-    let on: Vec<_> = [sessions.as_ref().map(|_| "sessions on"), store.as_ref().map(|_| "store on")]
-        .into_iter()
-        .flatten()
-        .collect();
-    let on = if on.is_empty() { "nothing switched on".to_owned() } else { on.join(", ") };
-    Ok(format!("{name}: sound, {on}"))
+    let enabled: Vec<_> =
+        [sessions.as_ref().map(|_| "sessions enabled"), store.as_ref().map(|_| "store enabled")]
+            .into_iter()
+            .flatten()
+            .collect();
+    let enabled = if enabled.is_empty() { "no features enabled".to_owned() } else { enabled.join(", ") };
+    Ok(format!("{name}: valid, {enabled}"))
 }
 
-/// What a balancer's configuration puts in force. The whole file is checked as at a start.
+/// Lists the parts that a balancer's configuration enables. The whole file is validated as at the start.
 fn check_configuration(name: &str, text: &[u8], json: bool) -> Result<String, String> {
-    let named = |variable: &str| (variable == "NODE_CONFIG").then(|| name.to_owned());
-    let config = crate::operations::config::load(named, |_| Ok(text.to_vec()))?;
+    let variable = |name: &str| (name == "NODE_CONFIG").then(|| name.to_owned());
+    let config = crate::operations::config::load(variable, |_| Ok(text.to_vec()))?;
     let parts = marllink_settings::parts(&config.settings);
     if json {
         return serde_json::to_string_pretty(&parts).map_err(|e| e.to_string());
     }
-    let widest = parts.iter().map(|part| part.name.len()).max().unwrap_or_default();
+    let name_width = parts.iter().map(|part| part.name.len()).max().unwrap_or_default();
     let line = |part: &marllink_settings::Part| {
-        format!("\n{:widest$}  {:3}  {}", part.name, if part.on { "on" } else { "off" }, part.why)
+        format!("\n{:name_width$}  {:3}  {}", part.name, if part.on { "on" } else { "off" }, part.why)
     };
-    Ok(format!("{name}: sound") + &parts.iter().map(line).collect::<String>())
+    Ok(format!("{name}: valid") + &parts.iter().map(line).collect::<String>())
 }
 
 fn state(command: &StateCommand) -> Result<String, String> {
@@ -167,8 +168,8 @@
     | StateCommand::Export { folder }
     | StateCommand::Compact { folder }) = command;
     let name = folder.display();
-    let said = |error: marllink_store::Error| format!("{name}: {error}");
-    let found = marllink_store::read(folder).map_err(said)?;
+    let describe = |error: marllink_store::Error| format!("{name}: {error}");
+    let found = marllink_store::read(folder).map_err(describe)?;
     let counts = format!("{} records, {} bytes, {} damaged", found.records, found.bytes, found.damaged);
     match command {
         StateCommand::Show { .. } => {
@@ -176,40 +177,41 @@
                 let age = (features::unix_ms() - record.at) / 1_000.0;
                 let rev =
                     record.body.pointer("/list/rev").map_or(String::new(), |rev| format!(", version {rev}"));
-                let hosts = record.body.pointer("/list/targets").and_then(serde_json::Value::as_array);
-                let hosts = hosts.map_or(String::new(), |all| format!(", {} form hosts", all.len()));
-                format!("\n{}  {age:.0} s old{rev}{hosts}", record.name)
+                let servers = record.body.pointer("/list/targets").and_then(serde_json::Value::as_array);
+                let servers = servers.map_or(String::new(), |all| format!(", {} servers", all.len()));
+                format!("\n{}  {age:.0} s old{rev}{servers}", record.name)
             };
             Ok(format!("{name}: {counts}") + &found.latest.values().map(line).collect::<String>())
         }
         StateCommand::Check { .. } if found.damaged > 0 => Err(format!("{name}: {counts}")),
-        StateCommand::Check { .. } => Ok(format!("{name}: sound, {counts}")),
+        StateCommand::Check { .. } => Ok(format!("{name}: no damage, {counts}")),
         StateCommand::Export { .. } => serde_json::to_string_pretty(&found.latest).map_err(|e| e.to_string()),
         StateCommand::Compact { .. } => {
-            let disk = marllink_store::FileDisk::take(folder).map_err(said)?;
-            let mut store = marllink_store::Folder::open(disk).map_err(said)?;
-            store.compact().map_err(said)?;
-            let after = marllink_store::read(folder).map_err(said)?;
-            Ok(format!("{name}: {counts}; now {} records, {} bytes", after.records, after.bytes))
+            let disk = marllink_store::FileDisk::take(folder).map_err(describe)?;
+            let mut store = marllink_store::Folder::open(disk).map_err(describe)?;
+            store.compact().map_err(describe)?;
+            let compacted = marllink_store::read(folder).map_err(describe)?;
+            Ok(format!("{name}: {counts}; now {} records, {} bytes", compacted.records, compacted.bytes))
         }
     }
 }
 
 fn inspect(text: &str, keys: &Path) -> Result<String, String> {
-    let keys = features::keys(keys)?;
+    let keys = features::load_keys(keys)?;
     let token = Token::read(text.as_bytes(), &keys).map_err(|e| format!("the token is {e}"))?;
-    let good = match Token::open(text.as_bytes(), &keys, features::unix_ms()) {
-        Ok(_) => "good now".to_owned(),
+    let validity = match Token::open(text.as_bytes(), &keys, features::unix_ms()) {
+        Ok(_) => "valid now".to_owned(),
         Err(error) => error.to_string(),
     };
     let Token { session, epoch, upto, holder, keepers, issued_ms, expires_ms } = token;
-    let kept = keepers.members.iter().map(|m| format!("{:016x} in life {:x}", m.server, m.incarnation));
-    let kept = kept.collect::<Vec<_>>().join(", ");
+    let replicas =
+        keepers.members.iter().map(|m| format!("{:016x} (incarnation {:x})", m.server, m.incarnation));
+    let replicas = replicas.collect::<Vec<_>>().join(", ");
     let key = Token::key_of(text.as_bytes()).unwrap_or_default();
     Ok(format!(
-        "session    {session}\nepoch      {epoch}\nconfirmed  {upto}\nform host  {holder:016x}\n\
-         keepers    {kept} (configuration {})\nissued     {issued_ms} (Unix time, ms)\n\
-         expires    {expires_ms}\nkey        {key}\nstate      {good}",
+        "session    {session}\nepoch      {epoch}\nconfirmed  {upto}\nserver     {holder:016x}\n\
+         replicas   {replicas} (configuration {})\nissued     {issued_ms} (Unix time, ms)\n\
+         expires    {expires_ms}\nkey        {key}\nvalidity   {validity}",
         keepers.number
     ))
 }
@@ -219,22 +221,22 @@
     use super::*;
 
     #[test]
-    fn a_configuration_is_told_by_its_parts_and_a_wrong_one_by_what_is_wrong() {
+    fn checking_a_configuration_lists_its_parts_or_names_the_error() {
         let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../examples/config.json");
-        let table = check(&path, false).expect("the example is sound");
+        let table = check(&path, false).expect("the example is valid");
         assert!(table.lines().any(|line| line.starts_with("groups ") && line.contains("  off  ")), "{table}");
-        let json = check(&path, true).expect("the example is sound");
-        let parts: Vec<serde_json::Value> = serde_json::from_str(&json).expect("JSON");
+        let json = check(&path, true).expect("the example is valid");
+        let parts: Vec<serde_json::Value> = serde_json::from_str(&json).expect("valid JSON");
         assert!(parts.iter().any(|part| part["name"] == "list" && part["on"] == true), "{json}");
-        let text = std::fs::read_to_string(&path).expect("it is there");
-        let wrong = text.replace("\"maxAttempts\"", "\"attempts\"");
+        let text = std::fs::read_to_string(&path).expect("the example exists");
+        let invalid = text.replace("\"maxAttempts\"", "\"attempts\"");
         let message =
-            check_configuration("config.json", wrong.as_bytes(), false).expect_err("a key is missing");
+            check_configuration("config.json", invalid.as_bytes(), false).expect_err("a key is missing");
         assert!(message.contains("maxAttempts"), "{message}");
     }
 
     #[test]
-    fn the_command_line_is_sound() {
+    fn the_command_line_definition_is_valid() {
         Cli::command().debug_assert();
     }
 }
--- a/node/src/core.rs
+++ b/node/src/core.rs
@@ -224,7 +224,7 @@
     fn core() -> (Rc<Core>, Rc<Recorder>) {
         let mut settings = Settings { nodes: 1, classes: vec![Class::default()], ..Settings::default() };
         settings.limits.max_attempts = 2;
-        let core = Core::new(Clock::settable(), settings, 1);
+        let core = Core::new(Clock::manual(), settings, 1);
         let recorder = Rc::new(Recorder::default());
         *recorder.core.borrow_mut() = Rc::downgrade(&core);
         let requests: Weak<dyn Requests> = Rc::downgrade(&recorder) as _;
--- a/node/src/exchange/holders.rs
+++ b/node/src/exchange/holders.rs
@@ -37,12 +37,12 @@
     /// The client has sent whole lines: they go on.
     pub fn sent(&self, pipe: &Pipe) {
         let now = self.exchange.clock.now();
-        while let Some(line) = pipe.up.line() {
+        while let Some(line) = pipe.up.peek_line() {
             pipe.waiting.borrow_mut().sent(now);
             pipe.up.commit(line.len());
         }
         // Half a line goes on as well; only the way down must be cut between lines.
-        pipe.up.commit(pipe.up.held());
+        pipe.up.commit(pipe.up.uncommitted());
     }
 
     /// The client has sent something before its answer, which no client of the protocol does:
@@ -167,7 +167,7 @@
         let (exchange, request) = (&self.exchange, self.id);
         let now = exchange.clock.now();
         pipe.waiting.borrow_mut().heard(now);
-        if exchange.tuning.now().tells_delay {
+        if exchange.tuning.current().tells_delay {
             let mut delays = exchange.delays.borrow_mut();
             let (stood_at, load_before) = (pipe.stood_at.get(), pipe.load.get());
             let (delay_at, bound) = (delays.told_at(self.server), delays.bound());
@@ -240,7 +240,7 @@
     /// The form host has answered.
     pub fn answered(&mut self, report: &Report) {
         if let Some(exchange) = self.exchange.upgrade() {
-            self.report = report::in_order(report, &exchange.tuning.now().names.report_fields);
+            self.report = report::ordered_values(report, &exchange.tuning.current().names.report_fields);
             self.ok = true;
         }
     }
--- a/node/src/exchange/mod.rs
+++ b/node/src/exchange/mod.rs
@@ -15,12 +15,12 @@
 use crate::host::delay::Delays;
 use crate::io::clock::{Clock, Millis};
 use crate::io::descriptors::{Descriptors, Purpose};
-use crate::io::pump::Between;
+use crate::io::pump::InterleavedLines;
 use crate::io::ring::End;
 use crate::membership::directory::Directory;
-use crate::operations::tuning::Tuning;
+use crate::operations::active_settings::ActiveSettings;
 use crate::protocol::handover::Connection;
-use crate::protocol::line::{self, Opening};
+use crate::protocol::line::{self, OpenRequest};
 use crate::protocol::session::{self, FromClient};
 pub use holders::{AttemptHandle, ProbeResult, RequestHandle};
 use marllink::{AttemptNo, ClassId, Effect, Event, NewRequest, Outcome, RequestId, ServerId, Sign, TenantId};
@@ -79,7 +79,7 @@
 struct Entry {
     /// Held until the request is over.
     _id: IdInUse,
-    opening: Rc<Opening>,
+    opening: Rc<OpenRequest>,
     pipe: Rc<Pipe>,
     phase: Phase,
     /// Attempts made.
@@ -132,7 +132,7 @@
     clock: Clock,
     directory: Rc<Directory>,
     descriptors: Rc<Descriptors>,
-    tuning: Rc<Tuning>,
+    tuning: Rc<ActiveSettings>,
     orders: mpsc::UnboundedSender<Order>,
     adopted: mpsc::UnboundedSender<Adopted>,
     entries: RefCell<BTreeMap<RequestId, Entry>>,
@@ -153,7 +153,7 @@
         clock: Clock,
         directory: Rc<Directory>,
         descriptors: Rc<Descriptors>,
-        tuning: Rc<Tuning>,
+        tuning: Rc<ActiveSettings>,
         sides: Sides,
         resume: Option<Rc<Resume>>,
     ) -> Rc<Self> {
@@ -184,11 +184,11 @@
     /// Tells what is wrong with a request that no form host may see.
     pub async fn open(
         &self,
-        opening: Opening,
+        opening: OpenRequest,
         pipe: Rc<Pipe>,
         patience_ms: Millis,
     ) -> Result<RequestHandle, &'static str> {
-        let settings = self.tuning.now();
+        let settings = self.tuning.current();
         let names = &settings.names;
         // A class taken for another would be served as what it is not.
         let class = names.classes.number(&opening.class).ok_or("no such class")?;
@@ -202,14 +202,14 @@
         let id_in_use = IdInUse::take(opening.id, &self.in_use)
             .filter(|id| !self.elsewhere.borrow().contains(&id.id))
             .ok_or("the id of an open request")?;
-        let at = opening.at.as_deref().map(|uid| ServerId(line::number_of(uid)));
+        let at = opening.previous_server.as_deref().map(|uid| ServerId(line::hash_server_name(uid)));
         let most = if at.is_some() { NO_DEADLINE_MS } else { f64::INFINITY };
         let wait_ms = opening.wait_ms.min(most) - ANSWER_MARGIN_MS;
         let taken_at = self.clock.now();
         if let Some(server) = at {
-            let known = self.directory.known(server);
+            let known = self.directory.wait_for_server(server);
             let told = async {
-                self.directory.told().await;
+                self.directory.wait_for_list().await;
                 self.clock.sleep(patience_ms).await;
             };
             tokio::select! {
@@ -225,7 +225,7 @@
             class: ClassId(class),
             tenant: TenantId(tenant),
             time_left_ms: wait_ms - (self.clock.now() - taken_at),
-            retry: opening.retry,
+            retry: opening.is_retry,
             group: opening.group,
         };
         let time_left_ms = new.time_left_ms;
@@ -381,7 +381,7 @@
         let Connection { id, class, tenant, group, server, load, session } = connection;
         // The predecessor may still tell that it holds this id, but it can't be open here.
         let Some(id_in_use) = IdInUse::take(id, &self.in_use) else { return };
-        let names = &self.tuning.now().names;
+        let names = &self.tuning.current().names;
         let number = names.classes.number_once(&class);
         let of_tenant = tenant.as_ref().and_then(|tenant| names.tenants.number_once(tenant));
         let (request, exchange) = (self.core.number_request(), self.me.upgrade().expect("it is in use"));
@@ -392,7 +392,7 @@
         let attempt = AttemptNo(0);
         let entry = Entry {
             _id: id_in_use,
-            opening: Rc::new(Opening::standing(id, class, tenant, group)),
+            opening: Rc::new(OpenRequest::established(id, class, tenant, group)),
             pipe: pipe.clone(),
             phase: Phase::Standing,
             attempts: 1,
@@ -456,7 +456,7 @@
     }
 
     fn refuse_session(&self, id: RequestId, retry_after_ms: Millis) {
-        self.answer(id, line::busy(retry_after_ms), EndReason::Session);
+        self.answer(id, line::busy_line(retry_after_ms), EndReason::Session);
         self.core.feed(Event::ClientGone(id));
     }
 
@@ -478,10 +478,10 @@
     }
 
     /// Has lines of the balancer's own come between two others.
-    fn tell(&self, id: RequestId, lines: &[u8], way: impl Fn(&Pipe) -> &Between) {
+    fn tell(&self, id: RequestId, lines: &[u8], way: impl Fn(&Pipe) -> &InterleavedLines) {
         let pipe = self.entries.borrow().get(&id).map(|e| e.pipe.clone());
         if let Some(pipe) = pipe
-            && !way(&pipe).add(lines)
+            && !way(&pipe).push(lines)
         {
             // The other side does not read: there is nothing for it in going on.
             self.end_session(id, "MOVE\r\n");
@@ -506,15 +506,15 @@
     fn client_said(&self, id: RequestId, pipe: &Pipe) -> bool {
         let Some(resume) = self.session_of(id) else { return true };
         while resume.has_room(id)
-            && let Some(text) = pipe.up.line()
+            && let Some(text) = pipe.up.peek_line()
         {
             match session::from_client(&text) {
                 Some(FromClient::Save(field)) => {
-                    pipe.up.take(text.len());
+                    pipe.up.remove(text.len());
                     resume.feed(SessionEvent::Saves { request: id, field });
                 }
                 Some(FromClient::Have) => {
-                    pipe.up.take(text.len());
+                    pipe.up.remove(text.len());
                     resume.feed(SessionEvent::Has { request: id });
                 }
                 None => {
@@ -523,7 +523,7 @@
                 }
             }
         }
-        pipe.up.held() <= line::LONGEST || pipe.up.line().is_some()
+        pipe.up.uncommitted() <= line::MAX_LINE_BYTES || pipe.up.peek_line().is_some()
     }
 
     /// Has every request that still waits get its final answer.
@@ -538,7 +538,7 @@
         self.core.feed(Event::AnswerNow(id));
         // The decisions do not know one whose session is not its own yet; nothing was sent on for it.
         let unsent = self.entries.borrow().get(&id).is_none_or(|e| e.attempts == 0);
-        let line = if unsent { line::busy(0.0) } else { "ERR\r\n".into() };
+        let line = if unsent { line::busy_line(0.0) } else { "ERR\r\n".into() };
         self.answer(id, line, EndReason::AnsweredAtOnce);
     }
 
@@ -629,7 +629,7 @@
 
     /// How attempts to restore a connection of this class may be repeated.
     fn restores(&self, class: &str) -> Restores {
-        let settings = self.tuning.now();
+        let settings = self.tuning.current();
         let number = settings.names.classes.number(class);
         let class = number.and_then(|number| settings.decisions.classes.get(usize::from(number)));
         match class.map(|class| class.effect) {
@@ -650,8 +650,8 @@
     }
 }
 
-fn strictest_aim(tuning: &Tuning) -> Millis {
-    let settings = tuning.now();
+fn strictest_aim(tuning: &ActiveSettings) -> Millis {
+    let settings = tuning.current();
     let aims = settings.decisions.classes.iter().map(|c| c.message_aim_ms).filter(|aim| *aim > 0.0);
     aims.fold(f64::INFINITY, f64::min)
 }
@@ -669,10 +669,10 @@
         let attempt = AttemptNo(entry.attempts);
         entry.attempts = entry.attempts.saturating_add(1);
         let allowed = matches!(entry.phase, Phase::Waiting)
-            && entry.attempts <= self.tuning.now().decisions.limits.max_attempts.max(1);
+            && entry.attempts <= self.tuning.current().decisions.limits.max_attempts.max(1);
         let way = self.directory.address(server).filter(|_| allowed);
         let Some((address, descriptor)) =
-            way.and_then(|a| Some((a, self.descriptors.take(Purpose::Served)?)))
+            way.and_then(|a| Some((a, self.descriptors.acquire(Purpose::Served)?)))
         else {
             let closed = matches!(entry.phase, Phase::Over);
             let outcome = Outcome::NotSent;
@@ -703,7 +703,7 @@
             resume.feed(SessionEvent::Attempt { request: id, server });
             resume.held_as(id)
         });
-        let restores = opening.at.is_some().then(|| self.restores(&opening.class));
+        let restores = opening.previous_server.is_some().then(|| self.restores(&opening.class));
         let wait_ms = timeout_ms;
         let attempt = Attempt { held_as, address, opening, wait_ms, restores, pipe, handle, descriptor };
         // If the server side has ended, so has the program; the handle's drop ends the attempt.
@@ -722,7 +722,7 @@
     }
 
     fn refuse(&self, id: RequestId, retry_after_ms: Millis) {
-        self.answer(id, line::busy(retry_after_ms), EndReason::Rejected);
+        self.answer(id, line::busy_line(retry_after_ms), EndReason::Rejected);
     }
 
     fn fail(&self, id: RequestId) {
@@ -743,7 +743,7 @@
         let result = ProbeResult { exchange: self.me.clone(), server, ok: false, report: Vec::new() };
         let way = self.directory.address(server);
         if let Some((address, descriptor)) =
-            way.and_then(|a| Some((a, self.descriptors.take(Purpose::Served)?)))
+            way.and_then(|a| Some((a, self.descriptors.acquire(Purpose::Served)?)))
         {
             let _ = self.orders.send(Order::Probe(Probe { address, result, descriptor }));
         }
--- a/node/src/exchange/orders.rs
+++ b/node/src/exchange/orders.rs
@@ -3,7 +3,7 @@
 use super::{AttemptHandle, Pipe, ProbeResult, RequestHandle};
 use crate::io::clock::Millis;
 use crate::io::descriptors::Descriptor;
-use crate::protocol::line::Opening;
+use crate::protocol::line::OpenRequest;
 use marllink::Outcome;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -48,7 +48,7 @@
     /// Where the form host is reached.
     pub address: SocketAddr,
     /// What the client asked.
-    pub opening: Rc<Opening>,
+    pub opening: Rc<OpenRequest>,
     /// How the form host is to hold its session, if it has one.
     pub held_as: Option<String>,
     /// How long the attempt may take until it stands.
--- a/node/src/exchange/pipe.rs
+++ b/node/src/exchange/pipe.rs
@@ -3,7 +3,7 @@
 use crate::host::delay::Waiting;
 use crate::io::clock::Millis;
 use crate::io::descriptors::Descriptor;
-use crate::io::pump::Between;
+use crate::io::pump::InterleavedLines;
 use crate::io::ring::Ring;
 use crate::protocol::handover::Connection;
 use marllink::Outcome;
@@ -31,9 +31,9 @@
     /// The connection has a session: lines of the balancer's own come between those of both sides.
     pub session: Cell<bool>,
     /// Such lines for the form host ...
-    pub to_host: Between,
+    pub to_host: InterleavedLines,
     /// ... and for the client.
-    pub to_client: Between,
+    pub to_client: InterleavedLines,
     pub(super) handoff: RefCell<Option<Rc<Handoff>>>,
 }
 
@@ -49,8 +49,8 @@
             load: Cell::default(),
             last_word: Cell::default(),
             session: Cell::default(),
-            to_host: Between::default(),
-            to_client: Between::default(),
+            to_host: InterleavedLines::default(),
+            to_client: InterleavedLines::default(),
             handoff: RefCell::default(),
         })
     }
@@ -62,8 +62,8 @@
 
     /// True if another process could go on with the connection from here.
     pub(super) fn idle(&self) -> bool {
-        self.up.idle()
-            && self.down.idle()
+        self.up.is_idle()
+            && self.down.is_idle()
             && self.to_host.is_empty()
             && self.to_client.is_empty()
             && self.waiting.borrow().none()
--- a/node/src/exchange/resume.rs
+++ b/node/src/exchange/resume.rs
@@ -7,9 +7,9 @@
 use crate::host::links;
 use crate::io::clock::Clock;
 use crate::io::descriptors::{Descriptors, Purpose};
-use crate::io::pump::Between;
+use crate::io::pump::InterleavedLines;
 use crate::membership::directory::Directory;
-use crate::operations::tuning::Tuning;
+use crate::operations::active_settings::ActiveSettings;
 use marllink::{RequestId, ServerId};
 use marllink_sessions::{Command, Event, KeyRing, Listed, Note, Passed, Sessions, Settings, keep};
 use std::cell::{Cell, RefCell};
@@ -27,13 +27,13 @@
     links: RefCell<HashMap<ServerId, Link>>,
     directory: Rc<Directory>,
     descriptors: Rc<Descriptors>,
-    tuning: Rc<Tuning>,
+    tuning: Rc<ActiveSettings>,
     exchange: RefCell<Weak<Exchange>>,
     me: Weak<Resume>,
 }
 
 struct Link {
-    words: Rc<Between>,
+    words: Rc<InterleavedLines>,
     task: AbortHandle,
 }
 
@@ -46,9 +46,9 @@
         seed: [u8; 32],
         directory: Rc<Directory>,
         descriptors: Rc<Descriptors>,
-        tuning: Rc<Tuning>,
+        tuning: Rc<ActiveSettings>,
     ) -> Rc<Self> {
-        let (now, unix) = (clock.now(), clock.unix());
+        let (now, unix) = (clock.now(), clock.unix_ms());
         let machine = Sessions::new(settings, keys, seed, now, unix).into();
         Rc::new_cyclic(|me| Self {
             clock,
@@ -143,7 +143,7 @@
             Command::Call { server, call } => {
                 let mut frame = Vec::new();
                 keep::write(&call, &mut frame);
-                let taken = self.links.borrow().get(&server).is_none_or(|link| link.words.add(&frame));
+                let taken = self.links.borrow().get(&server).is_none_or(|link| link.words.push(&frame));
                 if !taken {
                     // Nobody reads at the other end.
                     self.carry_out(Command::Unlink(server));
@@ -152,7 +152,7 @@
             }
             Command::Proceed(request) => exchange.proceed(request),
             Command::Refuse { request, retry_after_ms } => {
-                let limits = &self.tuning.now().decisions.limits;
+                let limits = &self.tuning.current().decisions.limits;
                 let told =
                     if limits.retry_after { retry_after_ms.min(limits.max_retry_after_ms) } else { 0.0 };
                 tracing::debug!(event = "session_refused", request = request.0, retry_after_ms = told);
@@ -182,12 +182,12 @@
 
     fn link(&self, server: ServerId) {
         let way = self.directory.address(server);
-        let way = way.and_then(|address| Some((address, self.descriptors.take(Purpose::Served)?)));
+        let way = way.and_then(|address| Some((address, self.descriptors.acquire(Purpose::Served)?)));
         let (Some((address, descriptor)), Some(resume)) = (way, self.me.upgrade()) else {
             self.feed(Event::LinkDown { server });
             return;
         };
-        let words = Rc::new(Between::default());
+        let words = Rc::new(InterleavedLines::default());
         let owner = self.machine.borrow().owner();
         let link = links::run(
             Rc::downgrade(&resume),
--- a/node/src/front/line.rs
+++ b/node/src/front/line.rs
@@ -5,11 +5,11 @@
 use crate::io::clock::{Clock, Millis};
 use crate::io::descriptors::{Descriptor, Descriptors, Purpose};
 use crate::io::listener::{self, Listener};
-use crate::io::places::{Place, Places};
-use crate::io::pump::{self, Filled};
+use crate::io::pump::{self, FillEnd};
 use crate::io::ring::End;
-use crate::operations::tuning::Tuning;
-use crate::protocol::line::{self, Hello, LONGEST, Opening};
+use crate::io::slots::{Slot, Slots};
+use crate::operations::active_settings::ActiveSettings;
+use crate::protocol::line::{self, FirstLine, MAX_LINE_BYTES, OpenRequest};
 use socket2::SockRef;
 use std::cell::Cell;
 use std::net::Shutdown;
@@ -50,9 +50,9 @@
     /// For the sockets.
     pub descriptors: Rc<Descriptors>,
     /// For what a client is told that comes while all descriptors are in use.
-    pub tuning: Rc<Tuning>,
+    pub tuning: Rc<ActiveSettings>,
     /// Of connections that have not asked for anything sound yet or are being turned away.
-    pub openings: Rc<Places>,
+    pub openings: Rc<Slots>,
     /// Whether clients are accepted.
     pub serving: watch::Receiver<bool>,
     /// Whether the process is about to end: who has not asked yet is sent elsewhere.
@@ -73,7 +73,7 @@
             };
             match accepted {
                 Ok(stream) => {
-                    let place = self.openings.place().await;
+                    let place = self.openings.acquire().await;
                     let clients = self.clone();
                     tokio::task::spawn_local(async move { clients.serve(stream, place).await });
                 }
@@ -112,11 +112,11 @@
     /// there were any.
     pub fn accept_waiting(self: &Rc<Self>, listener: &Listener) -> bool {
         let mut any = false;
-        while let Some(stream) = listener.accept_waiting() {
+        while let Some(stream) = listener.try_accept() {
             any = true;
             let clients = self.clone();
             tokio::task::spawn_local(async move {
-                let place = clients.openings.place().await;
+                let place = clients.openings.acquire().await;
                 match listener::register(stream).await {
                     Ok(stream) => clients.serve(stream, place).await,
                     Err(error) => tracing::warn!(%error, "an accepted connection could not be served"),
@@ -127,7 +127,7 @@
     }
 
     /// Serves one connection to its end.
-    async fn serve(&self, stream: TcpStream, place: Place) {
+    async fn serve(&self, stream: TcpStream, place: Slot) {
         // Lines are short and must not wait for others.
         let _ = stream.set_nodelay(true);
         let until = self.clock.now() + OPENING_MS;
@@ -145,12 +145,12 @@
                     self.turned_away.set(self.turned_away.get() + 1);
                 }
                 let line = match reason {
-                    RejectReason::Refused(wait_ms) => line::busy(wait_ms),
+                    RejectReason::Refused(wait_ms) => line::busy_line(wait_ms),
                     _ => "ERR\r\n".into(),
                 };
                 let needed = async {
                     if !matches!(reason, RejectReason::Needed) {
-                        place.needed().await;
+                        place.evicted().await;
                     }
                 };
                 tokio::select! {
@@ -174,29 +174,29 @@
         &self,
         stream: &TcpStream,
         pipe: &Rc<Pipe>,
-        place: &Place,
+        place: &Slot,
         until: Millis,
     ) -> Result<(RequestHandle, Descriptor), RejectReason> {
         let mut ending = self.ending.clone();
         let asked = tokio::select! {
             biased;
             asked = self.clock.within(OPENING_MS, self.asked(stream, pipe, place)) => asked,
-            () = place.needed() => Some(Err(RejectReason::Needed)),
+            () = place.evicted() => Some(Err(RejectReason::Needed)),
             _ = ending.wait_for(|ending| *ending) => Some(Err(RejectReason::Refused(0.0))),
         };
         let opening = asked.unwrap_or(Err(RejectReason::Late))?;
         if *self.ending.borrow() {
             return Err(RejectReason::Refused(0.0));
         }
-        let Some(descriptor) = self.descriptors.take(Purpose::Served) else {
-            let limits = &self.tuning.now().decisions.limits;
+        let Some(descriptor) = self.descriptors.acquire(Purpose::Served) else {
+            let limits = &self.tuning.current().decisions.limits;
             return Err(RejectReason::Refused(if limits.retry_after {
                 limits.max_retry_after_ms
             } else {
                 0.0
             }));
         };
-        if opening.at.is_some() {
+        if opening.previous_server.is_some() {
             // What was open before may have to wait, and must not leave for that.
             place.release();
         }
@@ -206,22 +206,27 @@
             biased;
             request_handle = self.exchange.open(opening, pipe.clone(), left) => request_handle.map_err(RejectReason::Unservable)?,
             _ = pump::fill(stream, &pipe.up, || false) => {
-                return Err(if pipe.up.held() > 0 { RejectReason::Malformed } else { RejectReason::Gone });
+                return Err(if pipe.up.uncommitted() > 0 { RejectReason::Malformed } else { RejectReason::Gone });
             }
         };
         Ok((request_handle, descriptor))
     }
 
     /// Reads until a client has asked for a connection, and answers `PING`s before.
-    async fn asked(&self, stream: &TcpStream, pipe: &Pipe, place: &Place) -> Result<Opening, RejectReason> {
+    async fn asked(
+        &self,
+        stream: &TcpStream,
+        pipe: &Pipe,
+        place: &Slot,
+    ) -> Result<OpenRequest, RejectReason> {
         for _ in 0..=MOST_PINGS {
             first_line(stream, pipe, place).await?;
             match self.hello(pipe) {
-                Some(Hello::Ping) => {
+                Some(FirstLine::Ping) => {
                     pump::write_all(stream, b"PONG\r\n").await.map_err(|_| RejectReason::Gone)?;
-                    place.answered();
+                    place.mark_answered();
                 }
-                Some(Hello::Open(opening)) => return Ok(*opening),
+                Some(FirstLine::Open(opening)) => return Ok(*opening),
                 None => break,
             }
         }
@@ -229,23 +234,23 @@
     }
 
     /// The first line, if it has come whole and is sound.
-    fn hello(&self, pipe: &Pipe) -> Option<Hello> {
-        let line = pipe.up.line().filter(|line| line.len() <= LONGEST)?;
+    fn hello(&self, pipe: &Pipe) -> Option<FirstLine> {
+        let line = pipe.up.peek_line().filter(|line| line.len() <= MAX_LINE_BYTES)?;
         pipe.up.discard(line.len());
-        let hello = line::hello(&line);
+        let hello = line::parse_first_line(&line);
         if hello.is_none() {
             tracing::debug!("no line of the protocol: {}", line[..line.len().min(200)].escape_ascii());
         }
         // A client waits for its answer before it sends more.
         hello.filter(|hello| match hello {
-            Hello::Ping => true,
-            Hello::Open(opening) => pipe.up.held() == 0 && self.may_ask(opening),
+            FirstLine::Ping => true,
+            FirstLine::Open(opening) => pipe.up.uncommitted() == 0 && self.may_ask(opening),
         })
     }
 
     /// Sessions are asked for only where they are switched on; else that is no line of the protocol.
-    fn may_ask(&self, opening: &Opening) -> bool {
-        opening.session.is_none() || self.exchange.resumes() && opening.at.is_none()
+    fn may_ask(&self, opening: &OpenRequest) -> bool {
+        opening.session.is_none() || self.exchange.resumes() && opening.previous_server.is_none()
     }
 
     /// Carries one request and its connection.
@@ -265,9 +270,9 @@
         let begun = pipe.standing();
         let writing = async {
             if pipe.session.get() {
-                pump::empty_between(&pipe.down, &pipe.to_client, stream, begun).await
+                pump::flush_interleaved(&pipe.down, &pipe.to_client, stream, begun).await
             } else {
-                pump::empty(&pipe.down, stream).await
+                pump::flush(&pipe.down, stream).await
             }
         };
         tokio::pin!(reading, writing);
@@ -275,18 +280,18 @@
         let more = tokio::select! {
             () = self.overdue(&request_handle) => false,
             left = &mut reading => match left {
-                Filled::Closed if pipe.standing() => {
+                FillEnd::Closed if pipe.standing() => {
                     pipe.up.end(End::Closed);
                     self.clock.within(LINGER_MS, &mut writing).await;
                     return;
                 }
                 // A client that leaves before its answer has cancelled.
-                Filled::Closed | Filled::Stopped => return,
-                Filled::Broken(error) => {
+                FillEnd::Closed | FillEnd::Stopped => return,
+                FillEnd::Broken(error) => {
                     tracing::debug!(%error, "reading from a client failed");
                     return;
                 }
-                Filled::DirectionEnded => {
+                FillEnd::DirectionEnded => {
                     // The form host is gone: nothing more is read, only what it said last goes out.
                     client_may_send = false;
                     self.clock.within(LINGER_MS, &mut writing).await.unwrap_or(false)
@@ -297,13 +302,13 @@
         if more && client_may_send {
             // The form host has ended its sending; the client may still send.
             match self.clock.within(LINGER_MS, &mut reading).await {
-                Some(Filled::Closed) => return pipe.up.end(End::Closed),
-                Some(Filled::Broken(_) | Filled::Stopped) => return pipe.up.end(End::Reset),
-                Some(Filled::DirectionEnded) | None => {}
+                Some(FillEnd::Closed) => return pipe.up.end(End::Closed),
+                Some(FillEnd::Broken(_) | FillEnd::Stopped) => return pipe.up.end(End::Reset),
+                Some(FillEnd::DirectionEnded) | None => {}
             }
         }
         // The form host is gone, and what the client still says goes nowhere; but its last line must reach it.
-        if !pipe.down.broken() && !pipe.handed_over() {
+        if !pipe.down.is_reset() && !pipe.handed_over() {
             self.drain(stream, TURN_AWAY_MS - OPENING_MS).await;
         }
     }
@@ -367,18 +372,18 @@
 }
 
 /// Waits until a first line is there, or too much for one.
-async fn first_line(stream: &TcpStream, pipe: &Pipe, place: &Place) -> Result<(), RejectReason> {
+async fn first_line(stream: &TcpStream, pipe: &Pipe, place: &Slot) -> Result<(), RejectReason> {
     let up = &pipe.up;
-    let whole = || up.line().is_some() || up.held() > LONGEST;
+    let whole = || up.peek_line().is_some() || up.uncommitted() > MAX_LINE_BYTES;
     let arrived = || {
-        place.heard();
+        place.touch();
         !whole()
     };
     if whole() {
         return Ok(());
     }
     match pump::fill(stream, up, arrived).await {
-        Filled::Stopped => Ok(()),
-        Filled::Closed | Filled::Broken(_) | Filled::DirectionEnded => Err(RejectReason::Gone),
+        FillEnd::Stopped => Ok(()),
+        FillEnd::Closed | FillEnd::Broken(_) | FillEnd::DirectionEnded => Err(RejectReason::Gone),
     }
 }
--- a/node/src/host/links.rs
+++ b/node/src/host/links.rs
@@ -4,7 +4,7 @@
 use crate::io::clock::{Clock, Millis};
 use crate::io::connect::connect;
 use crate::io::descriptors::Descriptor;
-use crate::io::pump::{self, Between};
+use crate::io::pump::{self, InterleavedLines};
 use marllink::ServerId;
 use marllink_sessions::Event;
 use marllink_sessions::keep::{self, Frames, Reply};
@@ -22,7 +22,7 @@
     server: ServerId,
     address: SocketAddr,
     owner: u64,
-    words: Rc<Between>,
+    words: Rc<InterleavedLines>,
     descriptor: Descriptor,
 ) {
     let reason = match clock.within(LINK_MS, greet(&clock, address, owner)).await {
@@ -82,9 +82,9 @@
     }
 }
 
-async fn say(stream: &TcpStream, words: Rc<Between>) -> String {
+async fn say(stream: &TcpStream, words: Rc<InterleavedLines>) -> String {
     loop {
-        words.some().await;
+        words.wait_for_lines().await;
         let bytes = words.take();
         if let Err(error) = pump::write_all(stream, &bytes).await {
             return error.to_string();
--- a/node/src/host/server.rs
+++ b/node/src/host/server.rs
@@ -6,11 +6,11 @@
 use crate::io::clock::{Clock, Millis};
 use crate::io::connect::{ConnectError, connect};
 use crate::io::descriptors::Descriptor;
-use crate::io::pump::{self, Filled};
+use crate::io::pump::{self, FillEnd};
 use crate::io::ring::{End, Ring};
-use crate::operations::tuning::Tuning;
-use crate::protocol::line::{self, LONGEST, Opening, Reply};
-use crate::protocol::session::{self, FromHost};
+use crate::operations::active_settings::ActiveSettings;
+use crate::protocol::line::{self, MAX_LINE_BYTES, OpenRequest, ServerLine};
+use crate::protocol::session::{self, FromServer};
 use marllink::Outcome;
 use socket2::SockRef;
 use std::net::Shutdown;
@@ -29,7 +29,7 @@
 /// What is needed to establish a connection.
 struct SetUp {
     address: SocketAddr,
-    opening: Rc<Opening>,
+    opening: Rc<OpenRequest>,
     held_as: Option<String>,
     /// When the client's time is over.
     until: Millis,
@@ -41,7 +41,7 @@
     /// For the time limits.
     pub clock: Clock,
     /// For the time to connect in, and whether probes are answered with a load report.
-    pub tuning: Rc<Tuning>,
+    pub tuning: Rc<ActiveSettings>,
 }
 
 impl Servers {
@@ -134,11 +134,11 @@
             })?,
         };
         // What was open before goes to its form host, draining or not.
-        if setup.opening.at.is_none() && !handle.may_begin() {
+        if setup.opening.previous_server.is_none() && !handle.may_begin() {
             return Err(AttemptEnd::new(Outcome::NotSent, AttemptCause::ServerDraining));
         }
         let left = setup.until - self.clock.now();
-        let head = setup.opening.for_host(left, setup.held_as.as_deref());
+        let head = setup.opening.for_server(left, setup.held_as.as_deref());
         let answered = tokio::select! {
             biased;
             outcome = handle.cancelled() => Err(AttemptEnd::cancelled(outcome)),
@@ -160,7 +160,7 @@
         wait_ms: Millis,
         silent: impl FnOnce(),
     ) -> Result<TcpStream, ConnectError> {
-        let usual = self.tuning.now().decisions.limits.connect_timeout_ms;
+        let usual = self.tuning.current().decisions.limits.connect_timeout_ms;
         let connected = connect(&self.clock, address, usual.min(wait_ms)).await;
         // One that was not given the usual time tells nothing.
         if matches!(connected, Err(ConnectError::TimedOut)) && wait_ms >= usual {
@@ -214,22 +214,22 @@
             Some(Ok(line)) => line,
             // One that waits for its keepers is not to blame.
             None if pipe.session.get() && handle.asks() => {
-                down.discard(down.held());
+                down.discard(down.uncommitted());
                 return Err(AttemptEnd::new(Outcome::Cancelled, AttemptCause::NoAnswer));
             }
             None => {
-                down.discard(down.held());
+                down.discard(down.uncommitted());
                 return Err(AttemptEnd::new(Outcome::TimedOut, AttemptCause::NoAnswer));
             }
             Some(Err(broken)) => {
-                down.discard(down.held());
+                down.discard(down.uncommitted());
                 return Err(AttemptEnd::new(Outcome::Reset, AttemptCause::NoWholeAnswer(broken)));
             }
         };
-        let outcome = match line::reply(&line) {
+        let outcome = match line::parse_server_line(&line) {
             // It has a session that nobody gave it.
-            Reply::Up if pipe.session.get() && !handle.leased() => Outcome::Error,
-            Reply::Up => {
+            ServerLine::Up if pipe.session.get() && !handle.leased() => Outcome::Error,
+            ServerLine::Up => {
                 down.commit(line.len());
                 return if handle.established() {
                     Ok(())
@@ -237,16 +237,16 @@
                     Err(AttemptEnd::cancelled(Outcome::Cancelled))
                 };
             }
-            Reply::Bye(_) => {
-                down.commit(down.held());
+            ServerLine::Bye(_) => {
+                down.commit(down.uncommitted());
                 return Err(AttemptEnd::new(Outcome::Ok, AttemptCause::Answered));
             }
-            Reply::Move => Outcome::Cancelled,
-            Reply::Busy(_) => Outcome::Full,
+            ServerLine::Move => Outcome::Cancelled,
+            ServerLine::Busy(_) => Outcome::Full,
             _ => Outcome::Error,
         };
         // Nothing of this answer is for the client: the next attempt's comes in its place.
-        down.discard(down.held());
+        down.discard(down.uncommitted());
         Err(AttemptEnd::new(outcome, AttemptCause::Answered))
     }
 
@@ -261,9 +261,9 @@
         let reading = pump::fill(stream, &pipe.down, arrived);
         let writing = async {
             if pipe.session.get() {
-                pump::empty_between(&pipe.up, &pipe.to_host, stream, true).await
+                pump::flush_interleaved(&pipe.up, &pipe.to_host, stream, true).await
             } else {
-                pump::empty(&pipe.up, stream).await
+                pump::flush(&pipe.up, stream).await
             }
         };
         tokio::pin!(reading, writing);
@@ -272,11 +272,11 @@
             more = &mut writing => {
                 // The client has ended its sending; the form host may still send.
                 let end = if more { self.clock.within(LINGER_MS, &mut reading).await } else { None };
-                (end.unwrap_or(Filled::Stopped), true)
+                (end.unwrap_or(FillEnd::Stopped), true)
             }
         };
         match end {
-            Filled::Closed => {
+            FillEnd::Closed => {
                 pipe.down.end(End::Closed);
                 // A host that has said its last word wants nothing more from the client.
                 if let Some(outcome) = last.get() {
@@ -289,14 +289,14 @@
                 self.clock.within(LINGER_MS, &mut writing).await;
                 AttemptEnd::new(Outcome::Reset, AttemptCause::Broken(Broken::EndOfStream))
             }
-            Filled::DirectionEnded => AttemptEnd::cancelled(Outcome::Cancelled),
+            FillEnd::DirectionEnded => AttemptEnd::cancelled(Outcome::Cancelled),
             _ if client_left => AttemptEnd::new(Outcome::Cancelled, AttemptCause::ClientClosed),
-            _ if pipe.down.held() > LONGEST => Self::endless(pipe),
-            Filled::Broken(error) => {
+            _ if pipe.down.uncommitted() > MAX_LINE_BYTES => Self::endless(pipe),
+            FillEnd::Broken(error) => {
                 pipe.down.end(End::Reset);
                 AttemptEnd::new(Outcome::Reset, AttemptCause::Broken(Broken::Read(error)))
             }
-            Filled::Stopped => {
+            FillEnd::Stopped => {
                 pipe.down.end(End::Reset);
                 AttemptEnd::new(Outcome::Reset, AttemptCause::Broken(Broken::Abandoned))
             }
@@ -313,14 +313,14 @@
     /// Asks a form host for its load.
     async fn probe(&self, probe: Probe) {
         let Probe { address, mut result, descriptor } = probe;
-        let reports = !self.tuning.now().names.report_fields.is_empty();
+        let reports = !self.tuning.current().names.report_fields.is_empty();
         let question: &[u8] = if reports { b"STATS\r\n" } else { b"PING\r\n" };
         let asking = async {
             let stream = self.connect(address, PROBE_MS, || result.no_connection()).await.ok()?;
             pump::write_all(&stream, question).await.ok()?;
             let line = first_line(&stream, &Ring::new()).await.ok()?;
-            match line::reply(&line) {
-                Reply::Pong(report) => Some(report),
+            match line::parse_server_line(&line) {
+                ServerLine::Pong(report) => Some(report),
                 _ => None,
             }
         };
@@ -354,7 +354,7 @@
             let rest = async { while let Ok(true) = pump::discard(socket, DROPPED).await {} };
             self.clock.within(handle.hold_ms(), rest).await;
         }
-        if pipe.up.broken() {
+        if pipe.up.is_reset() {
             pump::reset(socket);
         } else if !pipe.handed_over() {
             // A close over unread bytes would be a reset, and a client's last lines may go with it.
@@ -368,7 +368,7 @@
 async fn session_answer(stream: &TcpStream, pipe: &Pipe, handle: &AttemptHandle) -> Result<Vec<u8>, Broken> {
     let telling = async {
         loop {
-            pipe.to_host.some().await;
+            pipe.to_host.wait_for_lines().await;
             if pump::write_all(stream, &pipe.to_host.take()).await.is_err() {
                 return;
             }
@@ -377,7 +377,7 @@
     let hearing = async {
         loop {
             let line = first_line(stream, &pipe.down).await?;
-            let Some(FromHost::Renew(k)) = session::from_host(&line) else { return Ok(line) };
+            let Some(FromServer::Renew(k)) = session::from_server(&line) else { return Ok(line) };
             pipe.down.discard(line.len());
             handle.renews(k);
         }
@@ -391,14 +391,14 @@
 
 /// Reads a first line, and leaves it held.
 async fn first_line(stream: &TcpStream, ring: &Ring) -> Result<Vec<u8>, Broken> {
-    let whole = || ring.line().is_some() || ring.held() > LONGEST;
+    let whole = || ring.peek_line().is_some() || ring.uncommitted() > MAX_LINE_BYTES;
     let filled = pump::fill(stream, ring, || !whole()).await;
-    let line = ring.line().filter(|line| line.len() <= LONGEST);
+    let line = ring.peek_line().filter(|line| line.len() <= MAX_LINE_BYTES);
     line.ok_or(match filled {
-        Filled::Closed => Broken::EndOfStream,
-        Filled::Broken(error) => Broken::Read(error),
-        Filled::Stopped => Broken::NoLine,
-        Filled::DirectionEnded => Broken::Abandoned,
+        FillEnd::Closed => Broken::EndOfStream,
+        FillEnd::Broken(error) => Broken::Read(error),
+        FillEnd::Stopped => Broken::NoLine,
+        FillEnd::DirectionEnded => Broken::Abandoned,
     })
 }
 
@@ -406,19 +406,19 @@
 /// time. False if a line is too long to be one.
 fn pass_lines(pipe: &Pipe, handle: &AttemptHandle) -> bool {
     let last = &pipe.last_word;
-    while let Some(line) = pipe.down.line() {
-        match session::from_host(&line).filter(|_| pipe.session.get()) {
-            Some(FromHost::Renew(k)) => {
-                pipe.down.take(line.len());
+    while let Some(line) = pipe.down.peek_line() {
+        match session::from_server(&line).filter(|_| pipe.session.get()) {
+            Some(FromServer::Renew(k)) => {
+                pipe.down.remove(line.len());
                 handle.renews(k);
                 continue;
             }
-            Some(FromHost::Saved(n)) => {
+            Some(FromServer::Saved(n)) => {
                 pipe.down.commit(line.len());
                 handle.saved(pipe, n);
                 continue;
             }
-            Some(FromHost::Taken) => {
+            Some(FromServer::Taken) => {
                 last.set(Some(Outcome::Cancelled));
                 pipe.down.commit(line.len());
                 continue;
@@ -426,13 +426,13 @@
             None => {}
         }
         last.set(None);
-        match line::reply(&line) {
-            Reply::Load(load) => handle.load(pipe, load),
-            Reply::Bye(_) => last.set(Some(Outcome::Ok)),
-            Reply::Move => last.set(Some(Outcome::Cancelled)),
+        match line::parse_server_line(&line) {
+            ServerLine::Load(load) => handle.load(pipe, load),
+            ServerLine::Bye(_) => last.set(Some(Outcome::Ok)),
+            ServerLine::Move => last.set(Some(Outcome::Cancelled)),
             _ => handle.answered(pipe),
         }
         pipe.down.commit(line.len());
     }
-    pipe.down.held() <= LONGEST
+    pipe.down.uncommitted() <= MAX_LINE_BYTES
 }
--- a/node/src/io/connect.rs
+++ b/node/src/io/connect.rs
@@ -1,4 +1,4 @@
-//! Connects to a peer, through failures of this machine's own that last a moment.
+//! Connects to a peer, retrying transient local failures.
 
 use crate::io::clock::{Clock, Millis};
 use crate::io::transient;
@@ -6,35 +6,39 @@
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
 
-/// Why there is no connection.
+/// Why a connection attempt failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
-    /// The peer refused it, or could not be reached.
+    /// The peer refused the connection or is unreachable.
     #[error("{0}")]
     Failed(io::Error),
-    /// This machine could not make it: that tells nothing of the peer.
+    /// A local failure, which says nothing about the peer's health.
     #[error("{0} (local)")]
     Local(io::Error),
-    /// Nothing came back in time.
+    /// The connection was not established in time.
     #[error("no connection in time")]
     TimedOut,
 }
 
-/// Connects within a time in milliseconds. A connect that fails on this machine is made again until then.
+/// Connects within `timeout_ms` milliseconds. Attempts that fail for a local reason are repeated until then.
 ///
 /// # Errors
-/// Fails if the peer refuses, or time is over.
-pub async fn connect(clock: &Clock, to: SocketAddr, within_ms: Millis) -> Result<TcpStream, ConnectError> {
-    let until = clock.now() + within_ms;
-    let mut local = None;
+/// Fails if the peer refuses the connection, is unreachable, or the timeout expires.
+pub async fn connect(
+    clock: &Clock,
+    address: SocketAddr,
+    timeout_ms: Millis,
+) -> Result<TcpStream, ConnectError> {
+    let deadline = clock.now() + timeout_ms;
+    let mut local_error = None;
     loop {
-        let left = until - clock.now();
-        match clock.within(left, TcpStream::connect(to)).await {
+        let remaining = deadline - clock.now();
+        match clock.within(remaining, TcpStream::connect(address)).await {
             Some(Ok(stream)) => return Ok(stream),
-            Some(Err(error)) if transient::is_local_to_connect(&error) => local = Some(error),
+            Some(Err(error)) if transient::is_local_connect_error(&error) => local_error = Some(error),
             Some(Err(error)) => return Err(ConnectError::Failed(error)),
-            None => return Err(local.map_or(ConnectError::TimedOut, ConnectError::Local)),
+            None => return Err(local_error.map_or(ConnectError::TimedOut, ConnectError::Local)),
         }
-        transient::pause().await;
+        transient::backoff().await;
     }
 }
--- a/node/src/io/descriptors.rs
+++ b/node/src/io/descriptors.rs
@@ -1,50 +1,50 @@
-//! The file descriptors that the process may hold.
+//! Accounting of the file descriptors that the process may hold.
 //!
-//! Whoever opens a socket takes a [`Descriptor`] first and drops it after the socket, so the count
-//! is given back in one place.
+//! Code that opens a socket acquires a [`Descriptor`] first and drops it after the socket, so that the count
+//! is returned in one place.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Kept back: standard streams, listeners, the event queue, signals, discovery's calls, connections
-/// that are accepted and wait for a place, and some for what the libraries open.
-const OWN: usize = 20;
-/// One in so many is for operators' calls, whatever clients do ...
-const CALLS_SHARE: usize = 16;
-/// ... and so many are enough.
-const MOST_CALLS: usize = 16;
-/// The share of the rest that is for connections which have not said yet what they want, or are
-/// being turned away: clients hold at most a third, and so do their connections to form hosts. What
-/// these do not use is for openings, too, but for as much again, so that there is always room to serve.
-const OPENINGS: f64 = 0.25;
-
-/// So many are kept for clients that have connected and not yet asked, and for their attempts, after
-/// all else was given up to a successor.
-const SLACK: usize = 16;
-
-/// What a descriptor is for. Each purpose has a share of its own, so that none starves another.
+/// Descriptors reserved for the process itself: standard streams, listeners, the event queue, signals, calls
+/// to discovery, accepted connections that wait for a slot, and those that libraries open.
+const PROCESS_RESERVE_COUNT: usize = 20;
+/// One in this many descriptors is reserved for the admin interface, whatever clients do.
+const ADMIN_DIVISOR: usize = 16;
+/// Maximum number of descriptors reserved for the admin interface.
+const MAX_ADMIN_COUNT: usize = 16;
+/// Share of the remaining descriptors for connections that have not sent a request yet or are being rejected.
+/// Clients hold at most a third, and so do their connections to servers. Pending connections may also use
+/// what these leave free, except for a reserve of the same size, so that there is always room to serve.
+const PENDING_RATIO: f64 = 0.25;
+
+/// Descriptors kept for clients that have connected without a request yet, and for their attempts, after all
+/// others were released to a successor.
+const TRIM_HEADROOM_COUNT: usize = 16;
+
+/// What a descriptor is used for. Each purpose has its own share, so that none starves another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
-    /// A client's connection that is served, or one to a form host.
+    /// A client connection that is served, or a connection to a server.
     Served,
-    /// A connection that has just come.
-    Opening,
-    /// An operator's call.
-    Call,
+    /// A new connection without a request yet.
+    Pending,
+    /// An admin request.
+    Admin,
 }
 
-/// What is left of the limit.
+/// The pool of descriptors under the limit.
 #[derive(Debug)]
 pub struct Descriptors {
     limit: usize,
     used: [Cell<usize>; 3],
-    /// What a predecessor may hold of the limit.
-    elsewhere: Cell<usize>,
-    /// Since this process has handed over: how many there are for serving and openings together.
-    trimmed: Cell<Option<usize>>,
+    /// Number of descriptors that a predecessor may hold.
+    predecessor_reserve: Cell<usize>,
+    /// Number of descriptors for served and pending connections together, since this process handed over.
+    trimmed_to: Cell<Option<usize>>,
 }
 
-/// One descriptor, given back when dropped.
+/// One acquired descriptor, returned to the pool when dropped.
 #[derive(Debug)]
 pub struct Descriptor {
     pool: Rc<Descriptors>,
@@ -52,65 +52,70 @@
 }
 
 impl Descriptors {
-    /// All of `limit` but what the process needs for itself.
+    /// Creates a pool with `limit` descriptors, including those that the process needs for itself.
     pub fn new(limit: usize) -> Rc<Self> {
-        Rc::new(Self { limit, used: Default::default(), elsewhere: 0.into(), trimmed: Cell::default() })
+        Rc::new(Self {
+            limit,
+            used: Default::default(),
+            predecessor_reserve: 0.into(),
+            trimmed_to: Cell::default(),
+        })
     }
 
-    /// How many there are for a purpose.
-    fn share(&self, purpose: Purpose) -> usize {
-        if let Some(both) = self.trimmed.get() {
-            let but = |other| both.saturating_sub(self.in_use(other));
+    /// Returns the maximum number of descriptors for a purpose.
+    fn capacity(&self, purpose: Purpose) -> usize {
+        if let Some(total) = self.trimmed_to.get() {
+            let without = |other| total.saturating_sub(self.in_use(other));
             return match purpose {
-                Purpose::Served => but(Purpose::Opening),
-                Purpose::Opening => but(Purpose::Served),
-                Purpose::Call => self.calls(),
+                Purpose::Served => without(Purpose::Pending),
+                Purpose::Pending => without(Purpose::Served),
+                Purpose::Admin => self.admin_capacity(),
             };
         }
-        let limit = self.limit.saturating_sub(self.elsewhere.get());
-        // Without any, nobody could even be turned away.
-        let calls = self.calls();
-        let left = limit.saturating_sub(OWN + calls);
-        let openings = ((left as f64 * OPENINGS) as usize).max(1);
+        let limit = self.limit.saturating_sub(self.predecessor_reserve.get());
+        // At least one, as otherwise no connection could even be rejected.
+        let admin = self.admin_capacity();
+        let available = limit.saturating_sub(PROCESS_RESERVE_COUNT + admin);
+        let pending = ((available as f64 * PENDING_RATIO) as usize).max(1);
         match purpose {
-            Purpose::Served => left.saturating_sub(openings.max(self.in_use(Purpose::Opening))),
-            Purpose::Opening => openings.max(left.saturating_sub(self.in_use(Purpose::Served) + openings)),
-            Purpose::Call => calls,
+            Purpose::Served => available.saturating_sub(pending.max(self.in_use(Purpose::Pending))),
+            Purpose::Pending => pending.max(available.saturating_sub(self.in_use(Purpose::Served) + pending)),
+            Purpose::Admin => admin,
         }
     }
 
-    fn calls(&self) -> usize {
-        (self.limit / CALLS_SHARE).clamp(1, MOST_CALLS)
+    fn admin_capacity(&self) -> usize {
+        (self.limit / ADMIN_DIVISOR).clamp(1, MAX_ADMIN_COUNT)
     }
 
-    /// A predecessor may still hold so many.
-    pub fn leave(&self, elsewhere: usize) {
-        self.elsewhere.set(elsewhere);
+    /// Reserves the number of descriptors that a predecessor may still hold.
+    pub fn reserve_for_predecessor(&self, count: usize) {
+        self.predecessor_reserve.set(count);
     }
 
-    /// Gives up all that is not in use now, but for a few, to a successor. Tells how many this process
-    /// may still hold, which only grows less.
+    /// Releases all unused descriptors, except for some headroom, to a successor. Returns the number that
+    /// this process may still hold, which never grows.
     pub fn trim(&self) -> usize {
-        let both = self.in_use(Purpose::Served) + self.in_use(Purpose::Opening) + SLACK;
-        let both = both.min(self.trimmed.get().unwrap_or(usize::MAX));
-        self.trimmed.set(Some(both));
-        OWN + self.calls() + both + self.elsewhere.get()
+        let total = self.in_use(Purpose::Served) + self.in_use(Purpose::Pending) + TRIM_HEADROOM_COUNT;
+        let total = total.min(self.trimmed_to.get().unwrap_or(usize::MAX));
+        self.trimmed_to.set(Some(total));
+        PROCESS_RESERVE_COUNT + self.admin_capacity() + total + self.predecessor_reserve.get()
     }
 
-    /// Takes all back: there is no successor.
-    pub fn untrim(&self) {
-        self.trimmed.set(None);
+    /// Reclaims the released descriptors: there is no successor.
+    pub fn undo_trim(&self) {
+        self.trimmed_to.set(None);
     }
 
-    /// How many are in use for a purpose.
+    /// Returns the number of descriptors in use for a purpose.
     pub fn in_use(&self, purpose: Purpose) -> usize {
         self.used[purpose as usize].get()
     }
 
-    /// One for this purpose, if there is one left.
-    pub fn take(self: &Rc<Self>, purpose: Purpose) -> Option<Descriptor> {
+    /// Acquires a descriptor for this purpose if one is available.
+    pub fn acquire(self: &Rc<Self>, purpose: Purpose) -> Option<Descriptor> {
         let used = &self.used[purpose as usize];
-        (used.get() < self.share(purpose)).then(|| {
+        (used.get() < self.capacity(purpose)).then(|| {
             used.set(used.get() + 1);
             Descriptor { pool: self.clone(), purpose }
         })
@@ -118,7 +123,8 @@
 }
 
 impl Descriptors {
-    /// One that comes with a socket from a predecessor, which has given it up: it is there already.
+    /// Accounts for a descriptor that arrived with a socket from a predecessor, which has released it. It
+    /// exists already, so no limit applies.
     pub fn adopt(self: &Rc<Self>) -> Descriptor {
         let used = &self.used[Purpose::Served as usize];
         used.set(used.get() + 1);
@@ -138,29 +144,42 @@
     use super::*;
 
     #[test]
-    fn purposes_take_nothing_from_each_other_and_all_come_back() {
-        let pool = Descriptors::new(OWN + 32);
-        let all = |purpose| std::iter::from_fn(|| pool.take(purpose)).collect::<Vec<_>>();
-        let counts = || [Purpose::Served, Purpose::Opening, Purpose::Call].map(|p| all(p).len());
-        let taken = [Purpose::Served, Purpose::Opening, Purpose::Call].map(all);
+    fn purposes_do_not_starve_each_other_and_descriptors_are_returned() {
+        let pool = Descriptors::new(PROCESS_RESERVE_COUNT + 32);
+        let acquire_all = |purpose| std::iter::from_fn(|| pool.acquire(purpose)).collect::<Vec<_>>();
+        let available_counts =
+            || [Purpose::Served, Purpose::Pending, Purpose::Admin].map(|p| acquire_all(p).len());
+        let taken = [Purpose::Served, Purpose::Pending, Purpose::Admin].map(acquire_all);
         assert_eq!(taken.each_ref().map(Vec::len), [22, 7, 3]);
-        assert_eq!(counts(), [0, 0, 0]);
+        assert_eq!(available_counts(), [0, 0, 0]);
         drop(taken);
-        assert_eq!(counts(), [22, 22, 3], "openings use what others leave free");
-        let crowd = all(Purpose::Opening);
-        assert_eq!((crowd.len(), counts()), (22, [7, 0, 3]), "there is room to serve");
-        drop(crowd);
-        let held = all(Purpose::Served);
-        pool.leave(12);
-        assert_eq!(counts(), [0, 4, 3], "those of a predecessor are not there");
-        pool.leave(0);
-        assert_eq!(pool.trim(), OWN + 3 + 22 + SLACK);
+        assert_eq!(
+            available_counts(),
+            [22, 22, 3],
+            "pending connections use descriptors that others leave free"
+        );
+        let pending = acquire_all(Purpose::Pending);
+        assert_eq!(
+            (pending.len(), available_counts()),
+            (22, [7, 0, 3]),
+            "a reserve for served connections remains"
+        );
+        drop(pending);
+        let held = acquire_all(Purpose::Served);
+        pool.reserve_for_predecessor(12);
+        assert_eq!(available_counts(), [0, 4, 3], "descriptors of a predecessor are not available");
+        pool.reserve_for_predecessor(0);
+        assert_eq!(pool.trim(), PROCESS_RESERVE_COUNT + 3 + 22 + TRIM_HEADROOM_COUNT);
         drop(held);
-        assert_eq!(pool.trim(), OWN + 3 + SLACK);
-        let later = all(Purpose::Served);
-        assert_eq!((later.len(), counts()), (SLACK, [0, 0, 3]), "what was given up does not come back");
+        assert_eq!(pool.trim(), PROCESS_RESERVE_COUNT + 3 + TRIM_HEADROOM_COUNT);
+        let later = acquire_all(Purpose::Served);
+        assert_eq!(
+            (later.len(), available_counts()),
+            (TRIM_HEADROOM_COUNT, [0, 0, 3]),
+            "released descriptors are not reclaimed"
+        );
         let small = Descriptors::new(3);
-        assert!(small.take(Purpose::Served).is_none());
-        assert!(small.take(Purpose::Opening).is_some() && small.take(Purpose::Call).is_some());
+        assert!(small.acquire(Purpose::Served).is_none());
+        assert!(small.acquire(Purpose::Pending).is_some() && small.acquire(Purpose::Admin).is_some());
     }
 }
--- a/node/src/io/listener.rs
+++ b/node/src/io/listener.rs
@@ -1,4 +1,4 @@
-//! A listening socket that loses no connection to a failure that lasts a moment.
+//! A listening socket that survives transient failures without losing a connection.
 
 use crate::io::transient;
 use socket2::SockRef;
@@ -8,30 +8,33 @@
 use tokio::io::Interest;
 use tokio::net::TcpStream;
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections in the accept queue.
 const BACKLOG: i32 = 1024;
-/// So often a socket that was accepted is offered to the event loop.
-const MOST_REGISTRATIONS: usize = 100;
+/// Maximum number of attempts to register an accepted socket with the event loop.
+const MAX_REGISTRATION_COUNT: usize = 100;
 
 /// A listening socket.
 ///
-/// The runtime's own listener registers each connection as it accepts it, and closes one that it can't
-/// register. Here both are steps of their own, so that the second can be made again.
+/// Tokio's `TcpListener` registers each connection as it accepts it, and closes the connection if
+/// registration fails. Here, accepting and registering are separate steps, so that registration can be
+/// retried.
 #[derive(Debug)]
 pub struct Listener {
-    /// Only waited for and accepted from: the runtime tells of a stream when it is ready.
+    /// Used only to wait for readiness and to accept: Tokio's `TcpStream` exposes readiness for arbitrary
+    /// I/O.
     socket: TcpStream,
 }
 
 impl Listener {
-    /// Listens at an address. Two processes may do so, each with a queue of its own.
+    /// Binds and listens on an address. Two processes may listen on the same address, each with its own
+    /// accept queue.
     ///
     /// # Errors
-    /// Fails if the system lets nobody listen there.
+    /// Fails if the operating system does not allow listening on the address.
     pub fn bind(address: SocketAddr) -> io::Result<Self> {
         let domain = socket2::Domain::for_address(address);
         let socket = socket2::Socket::new(domain, socket2::Type::STREAM, None)?;
-        // A balancer starts again under its address at once.
+        // Lets a restarted balancer bind its address immediately.
         socket.set_reuse_address(true)?;
         socket.set_reuse_port(true)?;
         socket.bind(&address.into())?;
@@ -39,37 +42,38 @@
         Self::from_std(socket.into())
     }
 
-    /// Goes on with a socket that listens already.
+    /// Wraps a socket that is already listening.
     ///
     /// # Errors
-    /// Fails if the event loop does not take it.
+    /// Fails if the socket can't be registered with the event loop.
     pub fn from_std(listener: std::net::TcpListener) -> io::Result<Self> {
         listener.set_nonblocking(true)?;
         let socket = std::net::TcpStream::from(OwnedFd::from(listener));
         Ok(Self { socket: TcpStream::from_std(socket)? })
     }
 
-    /// Waits for a connection.
+    /// Waits for and accepts a connection.
     ///
     /// # Errors
-    /// Fails if none can be accepted now, for a reason that may last.
+    /// Fails if no connection can be accepted now for a reason that may persist.
     pub async fn accept(&self) -> io::Result<TcpStream> {
         loop {
             let accepted = self.socket.async_io(Interest::READABLE, || self.accept_one()).await;
             match accepted {
                 Ok(stream) => return register(stream).await,
-                Err(error) if is_of_one_connection(&error) => {}
+                Err(error) if is_per_connection(&error) => {}
                 Err(error) => return Err(error),
             }
         }
     }
 
-    /// A connection that waits to be accepted, whether or not the event loop has heard of it.
-    pub fn accept_waiting(&self) -> Option<std::net::TcpStream> {
+    /// Accepts a connection from the queue if there is one, even if the event loop has not reported readiness
+    /// yet.
+    pub fn try_accept(&self) -> Option<std::net::TcpStream> {
         loop {
             match self.accept_one() {
                 Ok(stream) => return Some(stream),
-                Err(error) if is_of_one_connection(&error) => {}
+                Err(error) if is_per_connection(&error) => {}
                 Err(_) => return None,
             }
         }
@@ -86,30 +90,31 @@
     }
 }
 
-/// True for an error that tells of the connection at the head of the queue, which is gone with it.
-fn is_of_one_connection(error: &io::Error) -> bool {
-    let of_one = [libc::ECONNABORTED, libc::EPROTO, libc::EINTR, libc::ENETDOWN, libc::ENETUNREACH];
-    error.raw_os_error().is_some_and(|number| of_one.contains(&number))
+/// Returns true if the error concerns only the connection at the head of the queue, which the kernel has
+/// already removed.
+fn is_per_connection(error: &io::Error) -> bool {
+    let per_connection = [libc::ECONNABORTED, libc::EPROTO, libc::EINTR, libc::ENETDOWN, libc::ENETUNREACH];
+    error.raw_os_error().is_some_and(|number| per_connection.contains(&number))
 }
 
-/// Has the event loop take an accepted connection. It has been taken off the queue, and its client is owed an
-/// answer: a shortage is waited for.
+/// Registers an accepted connection with the event loop. The connection is no longer in the accept queue and
+/// its client expects an answer, so a resource shortage is waited out.
 ///
 /// # Errors
-/// Fails if the shortage lasts.
+/// Fails if the shortage persists.
 pub async fn register(stream: std::net::TcpStream) -> io::Result<TcpStream> {
     stream.set_nonblocking(true)?;
-    let mut spare = stream;
-    for _ in 0..MOST_REGISTRATIONS {
-        let Ok(offered) = spare.try_clone() else {
-            transient::pause().await;
+    let mut duplicate = stream;
+    for _ in 0..MAX_REGISTRATION_COUNT {
+        let Ok(next_duplicate) = duplicate.try_clone() else {
+            transient::backoff().await;
             continue;
         };
-        match TcpStream::from_std(std::mem::replace(&mut spare, offered)) {
+        match TcpStream::from_std(std::mem::replace(&mut duplicate, next_duplicate)) {
             Ok(stream) => return Ok(stream),
-            Err(error) if transient::is_shortage(&error) => transient::pause().await,
+            Err(error) if transient::is_shortage(&error) => transient::backoff().await,
             Err(error) => return Err(error),
         }
     }
-    TcpStream::from_std(spare)
+    TcpStream::from_std(duplicate)
 }
--- a/node/src/io/pump.rs
+++ b/node/src/io/pump.rs
@@ -11,56 +11,56 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// Why a ring is filled no further.
+/// Why filling a ring stopped.
 #[derive(Debug)]
-pub enum Filled {
-    /// The sender has ended its sending.
+pub enum FillEnd {
+    /// The sender closed its sending side.
     Closed,
-    /// The connection broke.
+    /// The connection failed.
     Broken(io::Error),
-    /// What arrived was enough, or too much.
+    /// The callback requested a stop: enough data has arrived, or too much.
     Stopped,
     /// The direction has ended.
     DirectionEnded,
 }
 
-/// Fills the ring with what the socket brings, until the sender ends its sending, the connection
-/// breaks, or the direction ends; `arrived` is called after each fill and tells whether to go on.
-/// It is left to the caller to end the direction likewise.
-pub async fn fill(stream: &TcpStream, ring: &Ring, mut arrived: impl FnMut() -> bool) -> Filled {
-    while ring.room().await {
-        // The direction may end while nothing comes.
+/// Fills the ring from the socket until the sender closes, the connection fails or the direction ends.
+/// `arrived` is called after each read and returns whether to continue. The caller is responsible for ending
+/// the direction accordingly.
+pub async fn fill(stream: &TcpStream, ring: &Ring, mut arrived: impl FnMut() -> bool) -> FillEnd {
+    while ring.wait_for_space().await {
+        // The direction may end while no data arrives.
         let readable = tokio::select! {
             readable = stream.readable() => readable,
-            () = ring.closed() => return Filled::DirectionEnded,
+            () = ring.wait_for_end() => return FillEnd::DirectionEnded,
         };
-        // Both may be true. What would be read now would be lost to who goes on with the connection.
-        if ring.ended() {
-            return Filled::DirectionEnded;
+        // Both may be true. Bytes read now would be lost to the process that takes over the connection.
+        if ring.has_ended() {
+            return FillEnd::DirectionEnded;
         }
-        match readable.and_then(|()| ring.fill(|room| stream.try_read(room))) {
-            Ok(0) => return Filled::Closed,
+        match readable.and_then(|()| ring.fill(|space| stream.try_read(space))) {
+            Ok(0) => return FillEnd::Closed,
             Ok(_) if arrived() => {}
-            Ok(_) => return Filled::Stopped,
+            Ok(_) => return FillEnd::Stopped,
             Err(error) => {
-                if let Err(error) = passing(error).await {
-                    return Filled::Broken(error);
+                if let Err(error) = recover(error).await {
+                    return FillEnd::Broken(error);
                 }
             }
         }
     }
-    Filled::DirectionEnded
+    FillEnd::DirectionEnded
 }
 
-/// Sends what the ring holds, and ends the direction on the socket as it ended in the ring. True
-/// if the other direction may go on.
-pub async fn empty(ring: &Ring, stream: &TcpStream) -> bool {
+/// Sends the ring's committed bytes, and ends the direction on the socket as it ended in the ring. Returns
+/// true if the other direction may continue.
+pub async fn flush(ring: &Ring, stream: &TcpStream) -> bool {
     loop {
         match ring.ready().await {
             None => {
                 let written = stream.writable().await;
-                if let Err(error) = written.and_then(|()| ring.empty(|bytes| stream.try_write(bytes)))
-                    && passing(error).await.is_err()
+                if let Err(error) = written.and_then(|()| ring.consume(|bytes| stream.try_write(bytes)))
+                    && recover(error).await.is_err()
                 {
                     return false;
                 }
@@ -72,7 +72,7 @@
             }
             Some(End::HandedOver) => return false,
             Some(End::ClosingMessage(line)) => {
-                // Who does not take its last line in time does not get it.
+                // Best effort: a client that does not read its closing message in time does not receive it.
                 let _ = write_all(stream, line.as_bytes()).await;
                 return false;
             }
@@ -80,57 +80,63 @@
     }
 }
 
-/// Sends what the ring holds as [`empty`] does, and between two of its lines what is to come between them.
-/// Only whole lines may be committed to such a ring. Unless it has `begun`, its first line comes first.
-pub async fn empty_between(ring: &Ring, between: &Between, stream: &TcpStream, begun: bool) -> bool {
-    let mut whole = begun;
+/// Sends the ring's committed bytes as [`flush`] does, and inserts the interleaved lines between two of its
+/// lines. Only whole lines may be committed to such a ring. Unless `first_line_sent` is true, the ring's
+/// first line is sent first.
+pub async fn flush_interleaved(
+    ring: &Ring,
+    interleaved: &InterleavedLines,
+    stream: &TcpStream,
+    first_line_sent: bool,
+) -> bool {
+    let mut at_line_start = first_line_sent;
     loop {
-        if whole {
-            let lines = between.take();
+        if at_line_start {
+            let lines = interleaved.take();
             if !lines.is_empty() && write_all(stream, &lines).await.is_err() {
                 return false;
             }
         }
         let ready = tokio::select! {
             biased;
-            () = between.some(), if whole => continue,
+            () = interleaved.wait_for_lines(), if at_line_start => continue,
             ready = ring.ready() => ready,
         };
         if ready.is_some() {
-            return empty(ring, stream).await;
+            return flush(ring, stream).await;
         }
         let written = stream.writable().await.and_then(|()| {
-            ring.empty(|bytes| {
-                // To the end of a line and no further, if there is one.
+            ring.consume(|bytes| {
+                // Up to the end of the current line, if it is complete.
                 let end = bytes.iter().position(|b| *b == b'\n').map_or(bytes.len(), |at| at + 1);
                 let n = stream.try_write(&bytes[..end])?;
-                whole = n > 0 && bytes[n - 1] == b'\n';
+                at_line_start = n > 0 && bytes[n - 1] == b'\n';
                 Ok(n)
             })
         });
         if let Err(error) = written
-            && passing(error).await.is_err()
+            && recover(error).await.is_err()
         {
             return false;
         }
     }
 }
 
-/// Lines that come between those of a ring.
+/// Lines to be sent between those of a ring.
 #[derive(Debug, Default)]
-pub struct Between {
+pub struct InterleavedLines {
     lines: RefCell<Vec<u8>>,
     added: Notify,
 }
 
-/// Who lets so many bytes wait does not read any more.
-const MOST_BETWEEN: usize = 1024 * 1024;
+/// Maximum size of the waiting lines. A peer that lets more accumulate is no longer reading.
+const MAX_INTERLEAVED_BYTES: usize = 1024 * 1024;
 
-impl Between {
-    /// Adds whole lines. False if they are not taken: too much waits already.
-    pub fn add(&self, lines: &[u8]) -> bool {
+impl InterleavedLines {
+    /// Adds whole lines. Returns false if they don't fit because too much is waiting already.
+    pub fn push(&self, lines: &[u8]) -> bool {
         let mut waiting = self.lines.borrow_mut();
-        if waiting.len() + lines.len() > MOST_BETWEEN {
+        if waiting.len() + lines.len() > MAX_INTERLEAVED_BYTES {
             return false;
         }
         waiting.extend_from_slice(lines);
@@ -139,18 +145,18 @@
         true
     }
 
-    /// All that wait.
+    /// Removes and returns all waiting lines.
     pub fn take(&self) -> Vec<u8> {
         std::mem::take(&mut *self.lines.borrow_mut())
     }
 
-    /// True if none wait.
+    /// Returns true if no lines are waiting.
     pub fn is_empty(&self) -> bool {
         self.lines.borrow().is_empty()
     }
 
-    /// Waits until there are some.
-    pub async fn some(&self) {
+    /// Waits until there are lines.
+    pub async fn wait_for_lines(&self) {
         while self.is_empty() {
             self.added.notified().await;
         }
@@ -163,15 +169,15 @@
         stream.writable().await?;
         match stream.try_write(bytes) {
             Ok(n) => bytes = &bytes[n..],
-            Err(error) => passing(error).await?,
+            Err(error) => recover(error).await?,
         }
     }
     Ok(())
 }
 
-/// Writes what the socket takes at once, whether or not the event loop has heard that it takes any.
+/// Writes what the socket accepts immediately, even if the event loop has not reported it as writable.
 pub fn write_now(stream: &TcpStream, bytes: &[u8]) {
-    // Who does not take its last line now does not get it.
+    // Best effort: a closing message that does not fit into the socket's buffer now is dropped.
     while let Err(error) = SockRef::from(stream).send(bytes) {
         if error.kind() != io::ErrorKind::Interrupted {
             return;
@@ -179,89 +185,89 @@
     }
 }
 
-/// Adds what there is; false at the end of the connection.
+/// Appends available bytes to the buffer. Returns false at the end of the stream.
 ///
 /// # Errors
 /// Fails if the connection is broken.
-pub async fn read_more(stream: &TcpStream, to: &mut Vec<u8>) -> io::Result<bool> {
+pub async fn read_more(stream: &TcpStream, buffer: &mut Vec<u8>) -> io::Result<bool> {
     loop {
         stream.readable().await?;
-        let before = to.len();
-        to.reserve(4_096);
-        match stream.try_read_buf(to) {
-            Ok(_) => return Ok(to.len() > before),
-            Err(error) => passing(error).await?,
+        let before = buffer.len();
+        buffer.reserve(4_096);
+        match stream.try_read_buf(buffer) {
+            Ok(_) => return Ok(buffer.len() > before),
+            Err(error) => recover(error).await?,
         }
     }
 }
 
-/// Drops up to `most` bytes that have come, without copying them; false at the sender's end.
+/// Discards up to `max_bytes` received bytes without copying them. Returns false at the end of the stream.
 ///
 /// # Errors
 /// Fails if the connection is broken.
-pub async fn discard(stream: &TcpStream, most: usize) -> io::Result<bool> {
+pub async fn discard(stream: &TcpStream, max_bytes: usize) -> io::Result<bool> {
     loop {
         stream.readable().await?;
-        let mut left = most;
+        let mut remaining = max_bytes;
         let dropped = stream.try_io(tokio::io::Interest::READABLE, || {
-            while left > 0 {
+            while remaining > 0 {
                 let mut unread = [MaybeUninit::uninit(); 32 * 1024];
-                let piece = left.min(unread.len());
-                // Truncating, TCP lets go of the bytes and leaves the buffer alone.
-                match SockRef::from(stream).recv_with_flags(&mut unread[..piece], libc::MSG_TRUNC)? {
+                let length = remaining.min(unread.len());
+                // With MSG_TRUNC, TCP discards the bytes without writing to the buffer.
+                match SockRef::from(stream).recv_with_flags(&mut unread[..length], libc::MSG_TRUNC)? {
                     0 => return Ok(false),
-                    n => left -= n,
+                    n => remaining -= n,
                 }
             }
             Ok(true)
         });
         match dropped {
             Err(error) => {
-                passing(error).await?;
-                // What has come is dropped; the end, if there is one, is seen next time.
-                if left < most {
+                recover(error).await?;
+                // Some bytes were discarded; the end of the stream, if reached, is seen by the next call.
+                if remaining < max_bytes {
                     return Ok(true);
                 }
             }
-            done => return done,
+            result => return result,
         }
     }
 }
 
-/// Drops what has come and was not read, whether or not the event loop has heard of it: a close over unread bytes is
-/// a reset, and what was written last may go with it.
+/// Discards received bytes that were not read, even if the event loop has not reported them. Closing a socket
+/// with unread bytes sends a reset, which may drop the last bytes written.
 pub fn drop_unread(stream: &TcpStream) {
     let mut unread = [MaybeUninit::uninit(); 32 * 1024];
-    // Bounded, as a flood may come faster than it is dropped.
-    for _ in 0..MOST_DROPS {
+    // Bounded, as data may arrive faster than it is discarded.
+    for _ in 0..MAX_DROP_ROUND_COUNT {
         match SockRef::from(stream).recv_with_flags(&mut unread, libc::MSG_TRUNC) {
             Ok(0) => return,
-            Err(error) if !is_passing(&error) => return,
+            Err(error) if !is_recoverable(&error) => return,
             Ok(_) | Err(_) => {}
         }
     }
 }
 
-/// So many times unread bytes are dropped right before a close.
-const MOST_DROPS: usize = 64;
+/// Maximum number of rounds in which unread bytes are discarded right before a close.
+const MAX_DROP_ROUND_COUNT: usize = 64;
 
-/// Has the socket reset when it is closed.
+/// Makes the socket send a reset when it is closed.
 pub fn reset(stream: &TcpStream) {
-    // It may be broken already, which is as good.
+    // An error means that the connection is already broken, which has the same effect.
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// True if the connection is as sound as before the call that failed like this.
-fn is_passing(error: &io::Error) -> bool {
+/// Returns true if the failed call left the connection intact.
+fn is_recoverable(error: &io::Error) -> bool {
     error.kind() == io::ErrorKind::Interrupted || transient::is_shortage(error)
 }
 
-/// Returns once a read or write that failed may be made again; the error if the connection is broken.
-async fn passing(error: io::Error) -> io::Result<()> {
+/// Waits until a failed read or write may be retried. Returns the error if the connection is broken.
+async fn recover(error: io::Error) -> io::Result<()> {
     match error.kind() {
         io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted => Ok(()),
         _ if transient::is_shortage(&error) => {
-            transient::pause().await;
+            transient::backoff().await;
             Ok(())
         }
         _ => Err(error),
--- a/node/src/membership/discovery.rs
+++ b/node/src/membership/discovery.rs
@@ -1,11 +1,11 @@
-//! Discovery's client: fetches the list of form hosts and watches its changes.
+//! Discovery client: fetches the list of servers and watches it for changes.
 //!
-//! Where discovery is asked, calls are made only when the decisions ask for them; each is answered by a
-//! list or by word that it failed. When to ask again is theirs to decide: one service answers all.
+//! In request mode, calls are made only when the decision logic commands them, and each one ends with a list
+//! or a reported failure. The decision logic chooses when to retry, because one service serves all balancers.
 //!
-//! Where lists are pushed, an agent on this machine answers at once and at no cost, and what is pushed
-//! comes by a watch that is open there. The decisions are told of lists alone and never ask, so the watch
-//! is opened here at the start, and again whenever it ends.
+//! In push mode, an agent on this machine answers immediately and at no cost, and changes arrive through a
+//! watch on it. The decision logic only receives lists and never commands calls, so this client opens the
+//! watch at the start and reopens it whenever it ends.
 
 use crate::core::{Core, Membership};
 use crate::exchange::resume::Resume;
@@ -13,8 +13,8 @@
 use crate::io::connect::connect;
 use crate::io::pump;
 use crate::membership::directory::Directory;
-use crate::protocol::discovery::{self as syntax, List, Said, Target};
-use crate::protocol::http::{self, Read};
+use crate::protocol::discovery::{self as syntax, List, Target, WatchItem};
+use crate::protocol::http::{self, Parsed};
 use marllink::{Event, ListKind, ServerId};
 use marllink_rate_limits::calls::{ANSWER_MS, BUSY_MS, CONNECT_MS, SILENT_MS};
 use std::cell::{Cell, RefCell};
@@ -24,91 +24,93 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// Where lists are pushed, a watch that has ended is opened again after so long: the agent is this machine's
-/// own and calls to it cost nothing, but one that refuses them must not be called in a loop.
-const PUSHED_AGAIN_MS: Millis = 200.0;
-/// ... and has it answer within this time: no others wait for their turn there.
-const PUSHED_ANSWER_MS: Millis = 2_500.0;
-/// No list comes near this; a longer body is refused.
-const LONGEST_BODY: usize = 16 * 1024 * 1024;
+/// In push mode, the delay before a watch that has ended is reopened. The agent runs on this machine and
+/// calls to it cost nothing, but an agent that refuses calls must not be called in a tight loop.
+const PUSH_WATCH_RETRY_MS: Millis = 200.0;
+/// In push mode, the maximum time to wait for the agent's answer: no other balancers wait for their turn
+/// there.
+const PUSH_AGENT_ANSWER_MS: Millis = 2_500.0;
+/// Maximum size of a response body, well above that of any list. A longer body is rejected.
+const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
-/// Who keeps the list through a restart.
-pub trait Keeper {
-    /// Discovery has told; its list is this now.
-    fn told(&self, list: List);
+/// Observes the list in order to keep it across restarts.
+pub trait ListObserver {
+    /// The service has confirmed or changed the list; this is the current one.
+    fn list_updated(&self, list: List);
 }
 
-/// Follows the list.
+/// Follows the list of servers.
 pub struct Discovery {
     core: Weak<Core>,
     clock: Clock,
     directory: Rc<Directory>,
     address: Cell<SocketAddr>,
     zones: Vec<String>,
-    /// Lists are pushed: the watch is kept open from here.
-    pushed: bool,
-    /// The list in hand, and its version.
+    /// Push mode: the watch is kept open by this client.
+    push_mode: bool,
+    /// The current list and its version.
     targets: RefCell<BTreeMap<String, Target>>,
     rev: Cell<u64>,
-    /// The call for the whole list that is under way, and the watch that is open, if there are any.
+    /// The pending fetch of the whole list and the open watch, if any.
     fetch: RefCell<Option<AbortHandle>>,
     watch: RefCell<Option<AbortHandle>>,
-    /// Who else must know of form hosts, if anybody.
+    /// The session component, which also needs to know the servers, if sessions are enabled.
     resume: RefCell<Option<Rc<Resume>>>,
-    /// Who keeps the list through a restart, if anybody; and when the service was last heard of.
-    keeper: RefCell<Option<Rc<dyn Keeper>>>,
-    heard_at: Cell<Millis>,
-    /// The service has refused the last call that reached it, or left it unanswered.
+    /// The observer that keeps the list across restarts, if any, and the time of the last data from the
+    /// service.
+    observer: RefCell<Option<Rc<dyn ListObserver>>>,
+    last_contact_at: Cell<Millis>,
+    /// The last call that reached the service was rejected or not answered.
     busy: Cell<bool>,
-    me: Weak<Discovery>,
+    weak_self: Weak<Discovery>,
 }
 
 impl Discovery {
-    /// A client for the service at `address`.
+    /// Creates a client for the service at `address`.
     pub fn new(
         core: &Rc<Core>,
         clock: Clock,
         directory: Rc<Directory>,
         address: SocketAddr,
         zones: Vec<String>,
-        pushed: bool,
+        push_mode: bool,
     ) -> Rc<Self> {
-        Rc::new_cyclic(|me| Self {
+        Rc::new_cyclic(|weak_self| Self {
             core: Rc::downgrade(core),
             clock,
             directory,
             address: Cell::new(address),
             zones,
-            pushed,
+            push_mode,
             targets: RefCell::default(),
             rev: Cell::new(0),
             fetch: RefCell::new(None),
             watch: RefCell::new(None),
             resume: RefCell::new(None),
-            keeper: RefCell::new(None),
-            heard_at: Cell::new(f64::MIN),
+            observer: RefCell::new(None),
+            last_contact_at: Cell::new(f64::MIN),
             busy: Cell::default(),
-            me: me.clone(),
+            weak_self: weak_self.clone(),
         })
     }
 
-    /// Tells sessions of form hosts as well. To be called before the first list.
-    pub fn tell_sessions(&self, resume: Rc<Resume>) {
+    /// Also reports servers to the session component. Must be called before the first list.
+    pub fn attach_sessions(&self, resume: Rc<Resume>) {
         self.resume.replace(Some(resume));
     }
 
-    /// Tells who keeps the list. To be called before the first one.
-    pub fn tell_keeper(&self, keeper: Rc<dyn Keeper>) {
-        self.keeper.replace(Some(keeper));
+    /// Reports list updates to the observer. Must be called before the first list.
+    pub fn attach_observer(&self, observer: Rc<dyn ListObserver>) {
+        self.observer.replace(Some(observer));
     }
 
-    /// When the service was last heard of, be it that nothing has changed.
-    pub fn heard_at(&self) -> Millis {
-        self.heard_at.get()
+    /// Returns the time of the last data from the service, including confirmations that nothing has changed.
+    pub fn last_contact_at(&self) -> Millis {
+        self.last_contact_at.get()
     }
 
-    /// Has the decisions know of form hosts of the list in hand that they were not told of. What is not listed any
-    /// more is passed over.
+    /// Passes servers of the current list to the decision logic that were withheld from it. Servers that are
+    /// no longer listed are ignored.
     pub fn admit(&self, servers: &[ServerId]) {
         let entries = {
             let targets = self.targets.borrow();
@@ -118,64 +120,64 @@
         self.feed(Event::ServerList { kind: ListKind::Delta, entries });
     }
 
-    /// Begins with the list as it was known before the start; it may be old. Where lists are pushed, what
-    /// has changed since is asked for at once.
-    pub fn start_from(&self, known: &List) {
-        self.start_doubting(known, &|_| false);
+    /// Starts with the list known before the start, which may be stale. In push mode, the watch for later
+    /// changes is opened immediately.
+    pub fn start(&self, known_list: &List) {
+        self.start_withholding(known_list, &|_| false);
     }
 
-    /// The same, but keeps form hosts that `doubted` names from the decisions until [`Self::admit`] or the service
-    /// itself tells of them.
-    pub fn start_doubting(&self, known: &List, doubted: &dyn Fn(&Target) -> bool) {
-        self.tell(known, ListKind::Cached, doubted);
-        if self.pushed {
-            tracing::info!("discovery: lists are pushed, the watch of {} is kept open", self.address.get());
+    /// As [`Self::start`], but withholds the servers selected by `withheld` from the decision logic until
+    /// [`Self::admit`] is called or the service itself reports them.
+    pub fn start_withholding(&self, known_list: &List, withheld: &dyn Fn(&Target) -> bool) {
+        self.apply(known_list, ListKind::Cached, withheld);
+        if self.push_mode {
+            tracing::info!("discovery: push mode, keeping a watch open on {}", self.address.get());
             self.watch();
         }
     }
 
-    /// Goes over to the service at another address, at once. Form hosts stay known until it tells
-    /// otherwise, and connections stand.
-    pub fn go_over_to(&self, address: SocketAddr) {
+    /// Switches to the service at another address immediately. Servers stay known until that service reports
+    /// otherwise, and connections stay open.
+    pub fn switch_to(&self, address: SocketAddr) {
         if self.address.replace(address) == address {
             return;
         }
-        // What the old address still answers must not undo what the new one tells.
+        // A late response from the old address must not overwrite what the new one reports.
         for call in [self.fetch.take(), self.watch.take()].into_iter().flatten() {
             call.abort();
         }
-        // Versions need not go on from one service to the other: everything is asked for.
+        // Versions may not be comparable between services, so the whole list is requested.
         self.rev.set(0);
         self.busy.set(false);
         self.watch();
     }
 
-    /// The service as it is asked now.
+    /// Returns the address of the service in use.
     pub fn address(&self) -> SocketAddr {
         self.address.get()
     }
 
-    /// The list in hand.
+    /// Returns the current list.
     pub fn list(&self) -> List {
         List { rev: self.rev.get(), all: true, targets: self.targets.borrow().values().cloned().collect() }
     }
 
-    /// Passes a list on. Changes that are part of the list in hand are passed over: discovery may
-    /// answer a call that was made before a later one was answered. Where lists are pushed there is one watch at
-    /// a time and no other call, and an agent that was restarted may count its versions from anew: there all
-    /// that comes is news.
-    fn take(&self, list: &List) {
+    /// Processes a received list. Changes that are already part of the current list are ignored, since the
+    /// response to an earlier call may arrive after that to a later one. In push mode there is a single watch
+    /// and no other call, and an agent that was restarted may restart its version numbers, so everything
+    /// received is applied.
+    fn receive(&self, list: &List) {
         if list.all {
-            self.tell(list, ListKind::Full, &|_| false);
-        } else if self.pushed || list.rev > self.rev.get() {
-            self.tell(list, ListKind::Delta, &|_| false);
-        } else if let Some(keeper) = self.keeper.borrow().clone().filter(|_| list.rev == self.rev.get()) {
-            // Nothing has changed: that is word as well.
-            keeper.told(self.list());
+            self.apply(list, ListKind::Full, &|_| false);
+        } else if self.push_mode || list.rev > self.rev.get() {
+            self.apply(list, ListKind::Delta, &|_| false);
+        } else if let Some(observer) = self.observer.borrow().clone().filter(|_| list.rev == self.rev.get()) {
+            // An unchanged list is still a confirmation by the service.
+            observer.list_updated(self.list());
         }
     }
 
-    fn tell(&self, list: &List, kind: ListKind, left_out: &dyn Fn(&Target) -> bool) {
+    fn apply(&self, list: &List, kind: ListKind, withheld: &dyn Fn(&Target) -> bool) {
         self.rev.set(list.rev);
         if list.all {
             self.targets.borrow_mut().clear();
@@ -189,18 +191,18 @@
             self.directory.insert(target.server(), target.endpoint);
         }
         if kind != ListKind::Cached {
-            self.directory.tell();
+            self.directory.mark_list_received();
         }
         if let Some(resume) = self.resume.borrow().as_ref() {
-            let listed = self.targets.borrow().values().map(|t| t.listed(&self.zones)).collect();
-            resume.listed(listed);
+            let entries = self.targets.borrow().values().map(|t| t.session_entry(&self.zones)).collect();
+            resume.listed(entries);
         }
-        let told = list.targets.iter().filter(|t| !left_out(t));
-        let entries = told.map(|t| t.entry(&self.clock, &self.zones)).collect();
+        let entries = list.targets.iter().filter(|t| !withheld(t));
+        let entries = entries.map(|t| t.entry(&self.clock, &self.zones)).collect();
         self.feed(Event::ServerList { kind, entries });
-        let keeper = self.keeper.borrow().clone();
-        if let Some(keeper) = keeper.filter(|_| kind != ListKind::Cached) {
-            keeper.told(self.list());
+        let observer = self.observer.borrow().clone();
+        if let Some(observer) = observer.filter(|_| kind != ListKind::Cached) {
+            observer.list_updated(self.list());
         }
     }
 
@@ -210,167 +212,181 @@
         }
     }
 
-    /// Makes a call, and gives the answer once it has begun.
+    /// Makes a call, and returns the response once its head has arrived.
     ///
     /// # Errors
-    /// Tells why there is none: the service can't be reached, refuses it, breaks, or does not answer in time.
+    /// Fails if the service is unreachable, rejects the call, breaks the connection or does not answer in
+    /// time.
     async fn call(&self, path: &str) -> Result<Body, String> {
-        let host = self.address.get();
-        let stream = connect(&self.clock, host, CONNECT_MS).await.map_err(|e| e.to_string())?;
-        let patience = match (self.pushed, self.busy.replace(true)) {
-            (true, _) => PUSHED_ANSWER_MS,
+        let address = self.address.get();
+        let stream = connect(&self.clock, address, CONNECT_MS).await.map_err(|e| e.to_string())?;
+        let answer_timeout_ms = match (self.push_mode, self.busy.replace(true)) {
+            (true, _) => PUSH_AGENT_ANSWER_MS,
             (false, false) => ANSWER_MS,
             (false, true) => BUSY_MS,
         };
-        let body = self.clock.within(patience, begin(stream, host, path)).await.ok_or("no answer")??;
+        let body = self
+            .clock
+            .within(answer_timeout_ms, send_request(stream, address, path))
+            .await
+            .ok_or("no response in time")??;
         self.busy.set(false);
         Ok(body)
     }
 
     /// Fetches the whole list.
     async fn fetch_list(&self) -> Result<(), String> {
-        let before = self.rev.get();
+        let rev_before = self.rev.get();
         let mut body = self.call("/catalog/members").await?;
-        let whole = self.clock.within(ANSWER_MS, body.read_all()).await;
-        whole.unwrap_or_else(|| Err("no end of the list".into()))?;
-        let list = syntax::list(&body.text).ok_or("no list")?;
-        // The watch may have brought later changes while this was under way.
-        if list.rev >= self.rev.get() || self.rev.get() == before {
-            self.take(&list);
+        let read = self.clock.within(ANSWER_MS, body.read_all()).await;
+        read.unwrap_or_else(|| Err("the list did not arrive completely in time".into()))?;
+        let list = syntax::parse_list(&body.decoded).ok_or("malformed list")?;
+        // The watch may have delivered later changes in the meantime.
+        if list.rev >= self.rev.get() || self.rev.get() == rev_before {
+            self.receive(&list);
         }
         Ok(())
     }
 
-    /// Watches the list until the watch ends, and tells why it did.
+    /// Watches the list until the watch ends, and returns the reason.
     async fn watch_list(&self) -> Result<std::convert::Infallible, String> {
         let path = format!("/catalog/members?watch=1&after={}", self.rev.get());
         let mut body = self.call(&path).await?;
-        // The last whole thing, or the first byte of one under way: a long list may come in many pieces, but pieces
-        // that never come to an end say as little as none.
-        let mut since = self.clock.now();
-        let mut under_way = false;
+        // Time of the last complete item, or of the first byte of an incomplete one. A long list may arrive
+        // in many pieces, but pieces that never complete an item don't count as a sign of life.
+        let mut progress_at = self.clock.now();
+        let mut item_started = false;
         loop {
-            while let Some(said) = syntax::take(&mut body.text, body.unread) {
-                if let Said::List(list) = said.ok_or("no list")? {
-                    self.take(&list);
+            while let Some(item) = syntax::take_watch_item(&mut body.decoded, body.scanned) {
+                if let WatchItem::List(list) = item.ok_or("malformed list")? {
+                    self.receive(&list);
                 }
-                (since, under_way, body.unread) = (self.clock.now(), false, 0);
+                (progress_at, item_started, body.scanned) = (self.clock.now(), false, 0);
             }
-            if !body.text.is_empty() && !under_way {
-                (since, under_way) = (self.clock.now(), true);
+            if !body.decoded.is_empty() && !item_started {
+                (progress_at, item_started) = (self.clock.now(), true);
             }
-            body.unread = body.text.len();
-            let more = self.clock.within(since + SILENT_MS - self.clock.now(), body.read_some()).await;
-            if !more.ok_or("silence")?? {
-                return Err("the watch ended".into());
+            body.scanned = body.decoded.len();
+            let received =
+                self.clock.within(progress_at + SILENT_MS - self.clock.now(), body.read_some()).await;
+            if !received.ok_or("no data in time")?? {
+                return Err("the watch was closed".into());
             }
-            self.heard_at.set(self.clock.now());
+            self.last_contact_at.set(self.clock.now());
         }
     }
 
-    fn failed(&self, call: &str, reason: &str) {
-        tracing::info!("discovery: {call}: {reason}");
+    fn report_failure(&self, call: &str, reason: &str) {
+        tracing::info!("discovery: {call} failed: {reason}");
         self.feed(Event::ServerList { kind: ListKind::Failed, entries: Vec::new() });
     }
 }
 
 impl Membership for Discovery {
     fn fetch(&self) {
-        let Some(discovery) = self.me.upgrade() else { return };
-        let fetching = tokio::task::spawn_local(async move {
+        let Some(discovery) = self.weak_self.upgrade() else { return };
+        let task = tokio::task::spawn_local(async move {
             if let Err(reason) = discovery.fetch_list().await {
-                discovery.failed("fetch", &reason);
+                discovery.report_failure("fetch", &reason);
             }
         });
-        if let Some(before) = self.fetch.replace(Some(fetching.abort_handle())) {
-            before.abort();
+        if let Some(previous) = self.fetch.replace(Some(task.abort_handle())) {
+            previous.abort();
         }
     }
 
     fn watch(&self) {
-        // The decisions ask again some time after a failure; a watch may have been opened meanwhile.
+        // The decision logic retries some time after a failure; a watch may have been opened in the meantime.
         if self.watch.borrow().as_ref().is_some_and(|open| !open.is_finished()) {
             return;
         }
-        let Some(discovery) = self.me.upgrade() else { return };
-        let watching = tokio::task::spawn_local(async move {
+        let Some(discovery) = self.weak_self.upgrade() else { return };
+        let task = tokio::task::spawn_local(async move {
             loop {
                 let Err(reason) = discovery.watch_list().await;
-                if !discovery.pushed {
-                    return discovery.failed("watch", &reason);
+                if !discovery.push_mode {
+                    return discovery.report_failure("watch", &reason);
                 }
-                tracing::info!("discovery: watch: {reason}; it is opened again");
-                discovery.clock.sleep(PUSHED_AGAIN_MS).await;
+                tracing::info!("discovery: watch: {reason}; reopening");
+                discovery.clock.sleep(PUSH_WATCH_RETRY_MS).await;
             }
         });
-        self.watch.replace(Some(watching.abort_handle()));
+        self.watch.replace(Some(task.abort_handle()));
     }
 }
 
-/// Asks, and waits for the head of the answer.
-async fn begin(stream: TcpStream, host: SocketAddr, path: &str) -> Result<Body, String> {
-    let request = format!("GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n");
+/// Sends the request and waits for the head of the response.
+async fn send_request(stream: TcpStream, address: SocketAddr, path: &str) -> Result<Body, String> {
+    let request = format!("GET {path} HTTP/1.1\r\nHost: {address}\r\nAccept: application/json\r\n\r\n");
     pump::write_all(&stream, request.as_bytes()).await.map_err(|e| e.to_string())?;
     let mut raw = Vec::new();
     loop {
-        match http::head(&raw) {
-            Read::Whole(head, n) if head.status == 200 => {
+        match http::parse_response_head(&raw) {
+            Parsed::Complete(head, n) if head.status == 200 => {
                 raw.drain(..n);
-                return Ok(Body { stream, raw, head, text: Vec::new(), unread: 0 });
+                return Ok(Body { stream, raw, head, decoded: Vec::new(), scanned: 0 });
             }
-            Read::Whole(head, _) => return Err(format!("status {}", head.status)),
-            Read::Malformed => return Err("no HTTP".into()),
-            Read::Partial if !pump::read_more(&stream, &mut raw).await.map_err(|e| e.to_string())? => {
-                return Err("cut off".into());
+            Parsed::Complete(head, _) => return Err(format!("status {}", head.status)),
+            Parsed::Malformed => return Err("malformed HTTP response".into()),
+            Parsed::Partial if !pump::read_more(&stream, &mut raw).await.map_err(|e| e.to_string())? => {
+                return Err("connection closed before the end of the response".into());
             }
-            Read::Partial => {}
+            Parsed::Partial => {}
         }
     }
 }
 
-/// The body of an answer, as far as it has come.
+/// The body of a response, as far as it has arrived.
 struct Body {
     stream: TcpStream,
-    /// As it came, not yet taken apart.
+    /// Received bytes that are not decoded yet.
     raw: Vec<u8>,
-    head: http::Head,
-    /// Taken apart.
-    text: Vec<u8>,
-    /// So much of the text has been looked at for something whole, in vain.
-    unread: usize,
+    head: http::ResponseHead,
+    /// Decoded bytes.
+    decoded: Vec<u8>,
+    /// Number of decoded bytes that were already scanned without finding a complete item.
+    scanned: usize,
 }
 
 impl Body {
-    /// Adds to the text; false at the end of the body.
+    /// Appends to the decoded bytes. Returns false at the end of the body.
     async fn read_some(&mut self) -> Result<bool, String> {
         loop {
             if self.head.chunked {
-                match http::chunk(&self.raw) {
-                    Read::Whole([], _) => return Ok(false),
-                    Read::Whole(chunk, n) => {
-                        self.text.extend_from_slice(chunk);
+                match http::parse_chunk(&self.raw) {
+                    Parsed::Complete([], _) => return Ok(false),
+                    Parsed::Complete(chunk, n) => {
+                        self.decoded.extend_from_slice(chunk);
                         self.raw.drain(..n);
-                        return self.bounded();
+                        return self.check_size();
                     }
-                    Read::Malformed => return Err("no chunk".into()),
-                    Read::Partial => {}
+                    Parsed::Malformed => return Err("malformed chunk".into()),
+                    Parsed::Partial => {}
                 }
             } else if !self.raw.is_empty() {
-                self.text.append(&mut self.raw);
-                return self.bounded();
-            } else if self.head.length.is_some_and(|length| self.text.len() >= length) {
+                self.decoded.append(&mut self.raw);
+                return self.check_size();
+            } else if self.head.length.is_some_and(|length| self.decoded.len() >= length) {
                 return Ok(false);
             }
             if !pump::read_more(&self.stream, &mut self.raw).await.map_err(|e| e.to_string())? {
-                // Only a body of neither chunks nor a length ends with its connection.
-                let whole = !self.head.chunked && self.head.length.is_none();
-                return if whole { Ok(false) } else { Err("cut off".into()) };
+                // Only a body with neither chunks nor a length ends with the connection.
+                let complete = !self.head.chunked && self.head.length.is_none();
+                return if complete {
+                    Ok(false)
+                } else {
+                    Err("connection closed before the end of the response".into())
+                };
             }
         }
     }
 
-    fn bounded(&self) -> Result<bool, String> {
-        if self.text.len() > LONGEST_BODY { Err("a list without an end".into()) } else { Ok(true) }
+    fn check_size(&self) -> Result<bool, String> {
+        if self.decoded.len() > MAX_BODY_BYTES {
+            Err("the list exceeds the size limit".into())
+        } else {
+            Ok(true)
+        }
     }
 
     async fn read_all(&mut self) -> Result<(), String> {
--- a/node/src/membership/mod.rs
+++ b/node/src/membership/mod.rs
@@ -1,4 +1,4 @@
-//! Which form hosts there are, and where they are reached.
+//! The known servers and their addresses.
 
 pub mod directory;
 pub mod discovery;
--- a/node/src/operations/admin.rs
+++ b/node/src/operations/admin.rs
@@ -1,17 +1,17 @@
-//! The operators' door: takes their calls, one to a connection, and answers each at once.
+//! The admin interface: accepts HTTP requests, one per connection, and answers each immediately.
 //!
-//! Its connections have places of their own, so that clients can't take them, and a call that is not
-//! made in full in time, or when its place is needed, is cut off.
+//! Its connections have slots of their own, so that clients can't use them up. A connection whose request
+//! does not arrive completely in time, or whose slot is needed, is closed.
 
 use crate::io::clock::{Clock, Millis};
 use crate::io::descriptors::{Descriptors, Purpose};
 use crate::io::listener::Listener;
-use crate::io::places::{Place, Places};
 use crate::io::pump;
+use crate::io::slots::{Slot, Slots};
 use crate::operations::handover::Handover;
 use crate::operations::maintenance::Maintenance;
-use crate::protocol::admin::{self, Answer, Asked};
-use crate::protocol::http::{self, Call, Read};
+use crate::protocol::admin::{self, Command, Response};
+use crate::protocol::http::{self, Parsed, RequestHead};
 use crate::protocol::line;
 use marllink::ServerId;
 use socket2::SockRef;
@@ -19,106 +19,109 @@
 use std::rc::Rc;
 use tokio::net::TcpStream;
 
-/// A call must have been made within this time.
-const CALL_MS: Millis = 2_500.0;
-/// An answer must have been taken, and the connection closed, within this time.
-const CLOSE_MS: Millis = 500.0;
-/// After a failed accept so long passes before the next.
-const PAUSE_MS: Millis = 10.0;
-/// What comes after a call is dropped in pieces of this size.
-const DROPPED: usize = 16 * 1024;
+/// Maximum time to wait for a request.
+const REQUEST_TIMEOUT_MS: Millis = 2_500.0;
+/// Maximum time for the response to be read and the connection to be closed.
+const CLOSE_TIMEOUT_MS: Millis = 500.0;
+/// Delay after a failed accept.
+const ACCEPT_RETRY_MS: Millis = 10.0;
+/// Bytes received after a request are discarded in chunks of this size.
+const DISCARD_CHUNK_BYTES: usize = 16 * 1024;
 
-/// The door.
+/// The admin interface.
 pub struct Admin {
     clock: Clock,
-    /// Whether this process takes clients, and who must know of maintenance.
+    /// Knows whether this process accepts clients, and informs the other process of maintenance.
     handover: Rc<Handover>,
     maintenance: Rc<Maintenance>,
-    places: Rc<Places>,
+    slots: Rc<Slots>,
 }
 
 impl Admin {
-    /// The door of this process.
+    /// Creates the admin interface of this process.
     pub fn new(
         clock: Clock,
         handover: Rc<Handover>,
         maintenance: Rc<Maintenance>,
         descriptors: Rc<Descriptors>,
     ) -> Rc<Self> {
-        Rc::new(Self { clock, handover, maintenance, places: Places::new(descriptors, Purpose::Call) })
+        Rc::new(Self { clock, handover, maintenance, slots: Slots::new(descriptors, Purpose::Admin) })
     }
 
-    /// Takes calls for ever.
+    /// Accepts requests, forever.
     pub async fn listen(self: Rc<Self>, listener: Listener) {
         loop {
             match listener.accept().await {
                 Ok(stream) => {
-                    let place = self.places.place().await;
+                    let slot = self.slots.acquire().await;
                     let admin = self.clone();
-                    tokio::task::spawn_local(async move { admin.serve(stream, place).await });
+                    tokio::task::spawn_local(async move { admin.serve(stream, slot).await });
                 }
                 Err(error) => {
-                    tracing::warn!(%error, "a call could not be accepted");
-                    self.clock.sleep(PAUSE_MS).await;
+                    tracing::warn!(%error, "failed to accept an admin connection");
+                    self.clock.sleep(ACCEPT_RETRY_MS).await;
                 }
             }
         }
     }
 
-    /// Serves one call to its end; the place is given back after the socket.
-    async fn serve(&self, stream: TcpStream, place: Place) {
-        let serving = async {
-            let answer = match self.clock.within(CALL_MS, called(&stream)).await {
-                Some(Some(Ok(call))) => self.answer(&call),
-                Some(Some(Err(answer))) => answer,
-                // Who has left is owed nothing.
+    /// Serves one request; the slot is returned after the socket is closed.
+    async fn serve(&self, stream: TcpStream, slot: Slot) {
+        let exchange = async {
+            let response = match self.clock.within(REQUEST_TIMEOUT_MS, read_request(&stream)).await {
+                Some(Some(Ok(request))) => self.respond(&request),
+                Some(Some(Err(response))) => response,
+                // No response is needed once the peer has closed.
                 Some(None) => return,
-                None => Answer::new(408, "no call in time"),
+                None => Response::new(408, "no request in time"),
             };
             let closing = async {
-                pump::write_all(&stream, answer.written().as_bytes()).await.ok()?;
+                pump::write_all(&stream, response.to_http().as_bytes()).await.ok()?;
                 SockRef::from(&stream).shutdown(Shutdown::Write).ok()?;
-                // A close with input unread is a reset, which may overtake the answer.
-                while pump::discard(&stream, DROPPED).await.ok()? {}
+                // Closing a socket with unread input sends a reset, which may overtake the response.
+                while pump::discard(&stream, DISCARD_CHUNK_BYTES).await.ok()? {}
                 Some(())
             };
-            self.clock.within(CLOSE_MS, closing).await;
+            self.clock.within(CLOSE_TIMEOUT_MS, closing).await;
         };
         tokio::select! {
             biased;
-            () = serving => {}
-            () = place.needed() => {}
+            () = exchange => {}
+            () = slot.evicted() => {}
         }
         drop(stream);
     }
 
-    fn answer(&self, call: &Call) -> Answer {
-        match admin::asked(call) {
-            Ok(Asked::Health) if *self.handover.serving.borrow() => Answer::new(200, "taking clients"),
-            Ok(Asked::Health) => Answer::new(503, "taking no clients"),
-            Ok(Asked::Maintenance { uid, begins }) => {
-                let server = ServerId(line::number_of(uid));
+    fn respond(&self, request: &RequestHead) -> Response {
+        match admin::parse_command(request) {
+            Ok(Command::Health) if *self.handover.serving.borrow() => Response::new(200, "accepting clients"),
+            Ok(Command::Health) => Response::new(503, "not accepting clients"),
+            Ok(Command::Maintenance { uid, begins }) => {
+                let server = ServerId(line::hash_server_name(uid));
                 if self.handover.directory.address(server).is_none() {
-                    return Answer::new(404, "no such form host was ever listed");
+                    return Response::new(404, "no server of this name was ever listed");
                 }
-                tracing::info!("operators: {uid} is {}", if begins { "taken out" } else { "put back" });
-                self.maintenance.take(uid, begins);
-                self.handover.tell_maintenance(server, begins);
-                Answer::new(200, if begins { "out" } else { "back" })
+                tracing::info!(
+                    "admin: {uid} is {}",
+                    if begins { "in maintenance" } else { "back in service" }
+                );
+                self.maintenance.set(uid, begins);
+                self.handover.notify_maintenance(server, begins);
+                Response::new(200, if begins { "in maintenance" } else { "back in service" })
             }
-            Err(answer) => answer,
+            Err(response) => response,
         }
     }
 }
 
-/// Reads a call; `None` if the caller leaves before it is whole.
-async fn called(stream: &TcpStream) -> Option<Result<Call, Answer>> {
+/// Reads a request. Returns `None` if the peer closes before it is complete.
+async fn read_request(stream: &TcpStream) -> Option<Result<RequestHead, Response>> {
     let mut raw = Vec::new();
     loop {
-        match http::call(&raw) {
-            Read::Whole(call, _) => return Some(Ok(call)),
-            Read::Malformed => return Some(Err(Answer::new(400, "no call"))),
-            Read::Partial => {}
+        match http::parse_request_head(&raw) {
+            Parsed::Complete(request, _) => return Some(Ok(request)),
+            Parsed::Malformed => return Some(Err(Response::new(400, "malformed request"))),
+            Parsed::Partial => {}
         }
         if !pump::read_more(stream, &mut raw).await.ok()? {
             return None;
--- a/node/src/operations/config.rs
+++ b/node/src/operations/config.rs
@@ -1,66 +1,66 @@
-//! What the balancer is told: the file that `NODE_CONFIG` names, and the variables `NODE_NAME`,
-//! `NODE_LISTEN`, `NODE_DISCOVERY` and `NODE_ADMIN`, which come before what the file says at the start.
+//! The balancer's configuration: the file named by `NODE_CONFIG`, and the variables `NODE_NAME`,
+//! `NODE_LISTEN`, `NODE_DISCOVERY` and `NODE_ADMIN`, which take precedence over the file at the start.
 //!
-//! The file may be read again while the balancer runs. A variable can't be changed from outside by
-//! then, so what the file says of discovery comes first.
+//! The file may be reloaded while the balancer runs. The environment of a running process can't be changed
+//! from outside, so for the discovery address the file then takes precedence.
 
 use crate::protocol::discovery::List;
 use marllink_settings::Parsed;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// The variable that names the file.
+/// The environment variable that names the configuration file.
 pub const PATH_VARIABLE: &str = "NODE_CONFIG";
 
-/// The same error once more.
-pub fn copied(error: &std::io::Error) -> std::io::Error {
+/// Clones an I/O error, which is not `Clone`.
+pub fn clone_error(error: &std::io::Error) -> std::io::Error {
     std::io::Error::new(error.kind(), error.to_string())
 }
 
-/// All that the balancer is told.
+/// The complete configuration.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name, the same after a restart.
+    /// The balancer's name, which stays the same after a restart.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// Where operators call, if anywhere.
+    /// Address of the admin interface, if enabled.
     pub admin: Option<SocketAddr>,
-    /// For random numbers; new with each start.
+    /// Seed for random numbers, different at each start.
     pub seed: u64,
-    /// File descriptors that the process may hold.
+    /// Maximum number of file descriptors of the process.
     pub sockets: usize,
-    /// The list of form hosts as last known; may be old.
-    pub known: List,
+    /// The last known list of servers, which may be stale.
+    pub known_list: List,
     /// The settings of the deployment.
     pub settings: Parsed,
-    /// The file as it was read.
+    /// The text of the file.
     pub text: String,
 }
 
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     name: Option<String>,
     listen: Option<String>,
     discovery: Option<String>,
     admin: Option<String>,
     seed: String,
-    limits: FileLimits,
+    limits: ConfigFileLimits,
     known: Option<List>,
     settings: serde_json::Value,
 }
 
 #[derive(Deserialize)]
-struct FileLimits {
+struct ConfigFileLimits {
     sockets: usize,
 }
 
-/// Reads the configuration at the start; `variable` looks up the environment and `read` a file.
+/// Loads the configuration at the start; `variable` looks up an environment variable and `read` reads a file.
 ///
 /// # Errors
-/// Says in one line what is missing or wrong, and where.
+/// Describes in one line what is missing or invalid, and where.
 pub fn load(
     variable: impl Fn(&str) -> Option<String>,
     read: impl Fn(&str) -> std::io::Result<Vec<u8>>,
@@ -68,11 +68,11 @@
     load_with(variable, read, false)
 }
 
-/// Reads the configuration again: the whole file is checked as at the start, and it must have every
-/// key that the one in force has.
+/// Reloads the configuration: the whole file is validated as at the start, and must contain every key of the
+/// active one.
 ///
 /// # Errors
-/// Says in one line what is missing or wrong, and where.
+/// Describes in one line what is missing or invalid, and where.
 pub fn reload(
     variable: impl Fn(&str) -> Option<String>,
     read: impl Fn(&str) -> std::io::Result<Vec<u8>>,
@@ -84,29 +84,31 @@
     Ok(config)
 }
 
-/// The configuration of a process that takes the place of another: what was in force there, though
-/// the file may have changed since, or may be wrong by now. All else is as `told` at this start.
+/// Returns the configuration of a process that takes over from another one: settings and discovery address
+/// are those active in the predecessor, even if the file has changed since or is invalid now. Everything else
+/// comes from `configured`, which was loaded at this start.
 ///
 /// # Errors
-/// Says what is wrong with what was in force.
+/// Describes what is wrong with the predecessor's configuration.
 pub fn inherit(
-    told: Result<Config, String>,
+    configured: Result<Config, String>,
     text: &str,
     discovery: SocketAddr,
     variable: impl Fn(&str) -> Option<String>,
 ) -> Result<Config, String> {
     let in_force = load_with(variable, |_| Ok(text.as_bytes().to_vec()), true)?;
-    let told = told.unwrap_or_else(|message| {
-        tracing::error!("the configuration stays as it was: {message}");
-        // The numbers that the process before has drawn must not be drawn again.
+    let configured = configured.unwrap_or_else(|message| {
+        tracing::error!("keeping the configuration of the predecessor: {message}");
+        // The predecessor's random numbers must not be repeated.
         Config { seed: in_force.seed.wrapping_add(1), ..in_force.clone() }
     });
-    Ok(Config { discovery, settings: in_force.settings, text: in_force.text, ..told })
+    Ok(Config { discovery, settings: in_force.settings, text: in_force.text, ..configured })
 }
 
 impl Config {
-    /// What differs from `running` and holds only from the next start on, by the file's names.
-    pub fn only_at_start(&self, running: &Self) -> Vec<&'static str> {
+    /// Returns the file's names of the settings that differ from `running` and only take effect after a
+    /// restart.
+    pub fn requires_restart(&self, running: &Self) -> Vec<&'static str> {
         let differs = [
             ("name", self.name != running.name),
             ("listen", self.listen != running.listen),
@@ -121,30 +123,30 @@
 fn load_with(
     variable: impl Fn(&str) -> Option<String>,
     read: impl Fn(&str) -> std::io::Result<Vec<u8>>,
-    file_first: bool,
+    prefer_file: bool,
 ) -> Result<Config, String> {
     let path = variable(PATH_VARIABLE).ok_or("NODE_CONFIG is not set")?;
     let text = read(&path).map_err(|e| format!("NODE_CONFIG: {path}: {e}"))?;
-    let file: File = serde_json::from_slice(&text).map_err(|e| format!("{path}: {e}"))?;
-    let told = |name: &str, key: &str, value: Option<String>| {
+    let file: ConfigFile = serde_json::from_slice(&text).map_err(|e| format!("{path}: {e}"))?;
+    let required = |name: &str, key: &str, value: Option<String>| {
         let (first, second) =
-            if file_first && key == "discovery" { (value, variable(name)) } else { (variable(name), value) };
+            if prefer_file && key == "discovery" { (value, variable(name)) } else { (variable(name), value) };
         first.or(second).ok_or(format!("neither {name} is set nor \"{key}\" in {path}"))
     };
-    let parsed = |name: &str, text: String| {
-        text.parse().map_err(|_| format!("{name}: \"{text}\" is no address with a port"))
+    let parse_address = |name: &str, text: String| {
+        text.parse().map_err(|_| format!("{name}: \"{text}\" is not an address with a port"))
     };
-    let address = |name: &str, key: &str, value| parsed(name, told(name, key, value)?);
+    let address = |name: &str, key: &str, value| parse_address(name, required(name, key, value)?);
     let admin = variable("NODE_ADMIN").or(file.admin);
     Ok(Config {
-        name: told("NODE_NAME", "name", file.name)?,
+        name: required("NODE_NAME", "name", file.name)?,
         listen: address("NODE_LISTEN", "listen", file.listen)?,
         discovery: address("NODE_DISCOVERY", "discovery", file.discovery)?,
-        admin: admin.map(|text| parsed("NODE_ADMIN", text)).transpose()?,
+        admin: admin.map(|text| parse_address("NODE_ADMIN", text)).transpose()?,
         seed: u64::from_str_radix(&file.seed, 16)
-            .map_err(|_| format!("{path}: seed: \"{}\" is no hexadecimal number of 64 bits", file.seed))?,
+            .map_err(|_| format!("{path}: seed: \"{}\" is not a 64-bit hexadecimal number", file.seed))?,
         sockets: file.limits.sockets,
-        known: file.known.unwrap_or(List { rev: 0, all: true, targets: Vec::new() }),
+        known_list: file.known.unwrap_or(List { rev: 0, all: true, targets: Vec::new() }),
         settings: marllink_settings::from_value(file.settings)
             .map_err(|e| format!("{path}: settings: {e}"))?,
         text: String::from_utf8_lossy(&text).into_owned(),
@@ -171,38 +173,38 @@
     }
 
     #[test]
-    fn the_environment_comes_before_the_file() {
-        let config = load_text(FILE, Some("127.0.0.9:1")).expect("it is well formed");
-        assert_eq!((config.listen.to_string(), config.known.rev), ("127.0.0.9:1".to_owned(), 41));
+    fn the_environment_takes_precedence_over_the_file() {
+        let config = load_text(FILE, Some("127.0.0.9:1")).expect("the configuration is valid");
+        assert_eq!((config.listen.to_string(), config.known_list.rev), ("127.0.0.9:1".to_owned(), 41));
         assert_eq!((config.seed, config.sockets), (0x8c1f_30d2_7a5b_e964, 4096));
     }
 
     #[test]
-    fn a_file_read_again_names_discovery_before_the_environment_does() {
+    fn a_reloaded_file_takes_precedence_for_the_discovery_address() {
         let variable = |name: &str| match name {
             "NODE_CONFIG" => Some("c.json".to_owned()),
             "NODE_DISCOVERY" => Some("127.0.0.8:1".to_owned()),
             _ => None,
         };
         let changed = FILE.replace("10.0.0.4:8000", "10.0.0.5:8000").replace(":2,\"zone", ":3,\"zone");
-        let running = load(variable, |_| Ok(FILE.as_bytes().to_vec())).expect("it is well formed");
-        let again =
-            reload(variable, |_| Ok(changed.as_bytes().to_vec()), &running.text).expect("it is well formed");
+        let running = load(variable, |_| Ok(FILE.as_bytes().to_vec())).expect("the configuration is valid");
+        let again = reload(variable, |_| Ok(changed.as_bytes().to_vec()), &running.text)
+            .expect("the configuration is valid");
         assert_eq!(running.discovery.to_string(), "127.0.0.8:1");
         assert_eq!(again.discovery.to_string(), "10.2.0.1:8500");
-        assert_eq!(again.only_at_start(&running), ["listen"]);
-        // What the variables tell does not hide that it is missing.
+        assert_eq!(again.requires_restart(&running), ["listen"]);
+        // A value in the environment must not hide that a key is missing from the file.
         for key in ["name", "listen", "discovery", "known"] {
             let short = FILE.replace(&format!("\"{key}\":"), "\"x\":");
             let again = reload(variable, |_| Ok(short.as_bytes().to_vec()), &running.text);
-            assert!(again.is_err_and(|said| said.contains(key)), "{key}");
+            assert!(again.is_err_and(|message| message.contains(key)), "{key}");
         }
-        assert_eq!(running.only_at_start(&running), [""; 0]);
+        assert_eq!(running.requires_restart(&running), [""; 0]);
     }
 
     #[test]
-    fn what_is_wrong_is_said_in_one_line() {
-        let wrong = [
+    fn errors_are_reported_in_one_line() {
+        let invalid = [
             load(|_| None, |_| Ok(Vec::new())),
             load_text("{", None),
             load_text(FILE, Some("here")),
@@ -210,7 +212,8 @@
             load_text(&FILE.replace("maxAttempts", "attempts"), None),
             load_text(&FILE.replace("\"name\"", "\"nom\""), None),
         ];
-        let said: Vec<_> = wrong.into_iter().map(|w| w.expect_err("it is wrong")).collect();
-        insta::assert_snapshot!(said.join("\n"));
+        let messages: Vec<_> =
+            invalid.into_iter().map(|result| result.expect_err("the configuration is invalid")).collect();
+        insta::assert_snapshot!(messages.join("\n"));
     }
 }
--- a/node/src/operations/features.rs
+++ b/node/src/operations/features.rs
@@ -1,38 +1,41 @@
-//! What operators have switched on: their file, read at the start and at SIGHUP, whole or not at all.
+//! The operators' file, which enables optional features. It is read at the start and at SIGHUP, and takes
+//! effect as a whole or not at all.
 
 use marllink_config::{Operators, Problem};
 use marllink_sessions::KeyRing;
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The operators' file, checked, with what it names.
+/// The validated operators' file, with the contents of the files that it names.
 #[derive(Clone, Debug, Default)]
 pub struct Features {
-    /// What it says.
+    /// The file's contents.
     pub operators: Operators,
-    /// The keys of tokens, where there are sessions.
+    /// The token keys, if sessions are enabled.
     pub keys: Option<KeyRing>,
 }
 
-/// Where the operators' file lies, if there is one: the variable comes before the command line's.
-pub fn path(told: Option<PathBuf>) -> Option<PathBuf> {
-    std::env::var_os("MARLLINK_OPERATORS").map(PathBuf::from).or(told)
+/// Returns the path of the operators' file, if any: the environment variable takes precedence over the
+/// command line.
+pub fn path(from_command_line: Option<PathBuf>) -> Option<PathBuf> {
+    std::env::var_os("MARLLINK_OPERATORS").map(PathBuf::from).or(from_command_line)
 }
 
-/// Reads an operators' file and the files that it names. Without one, nothing is switched on.
+/// Reads an operators' file and the files that it names. Without a file, no feature is enabled.
 ///
 /// # Errors
-/// Says what is wrong with them, one line for each thing.
+/// Describes each problem on a line of its own.
 pub fn load(path: Option<&Path>) -> Result<Features, String> {
     let Some(path) = path else { return Ok(Features::default()) };
     let file = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|e| format!("{file}: {e}"))?;
-    let lines = |all: Vec<Problem>| all.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n");
-    let operators = marllink_config::parse(&file, &text).map_err(lines)?;
+    let join_problems =
+        |problems: Vec<Problem>| problems.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n");
+    let operators = marllink_config::parse(&file, &text).map_err(join_problems)?;
     let keys = match &operators.sessions {
         Some(sessions) => {
             let path = path.parent().unwrap_or(Path::new("")).join(&sessions.keys);
-            Some(keys(&path).map_err(|e| format!("{file}: /sessions/keys: {e}"))?)
+            Some(load_keys(&path).map_err(|e| format!("{file}: /sessions/keys: {e}"))?)
         }
         None => None,
     };
@@ -42,13 +45,13 @@
 /// Reads a key file.
 ///
 /// # Errors
-/// Says what is wrong with it; never what is secret.
-pub fn keys(path: &Path) -> Result<KeyRing, String> {
+/// Describes what is wrong with the file, without revealing secrets.
+pub fn load_keys(path: &Path) -> Result<KeyRing, String> {
     let text = std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()))?;
     KeyRing::parse(&text, unix_ms()).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-/// The wall clock's time, to check keys and tokens by.
+/// Returns the wall clock time, used to check keys and tokens.
 pub fn unix_ms() -> f64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1_000.0
 }
--- a/node/src/operations/file.rs
+++ b/node/src/operations/file.rs
@@ -1,32 +1,32 @@
-//! Reads files through failures that last a moment.
+//! Reads files, retrying on transient failures.
 
 use crate::io::clock::{Clock, Millis};
 use std::io;
 use std::path::Path;
 
-/// For so long a file is tried.
-const READ_MS: Millis = 1_000.0;
-/// So long after one try follows the next.
-const READ_AGAIN_MS: Millis = 25.0;
+/// Maximum time for which reading a file is retried.
+const READ_TIMEOUT_MS: Millis = 1_000.0;
+/// Delay between two attempts.
+const READ_RETRY_INTERVAL_MS: Millis = 25.0;
 
-/// Reads a file. A read that fails, but for a reason that lies in the file, is made again for a while.
+/// Reads a file. A failed read is retried for a while unless the cause lies in the file itself.
 ///
 /// # Errors
-/// Fails if the file is not there or may not be read, or if its failure lasts.
-pub async fn read(clock: &Clock, path: &Path) -> io::Result<Vec<u8>> {
-    let until = clock.now() + READ_MS;
+/// Fails if the file does not exist or may not be read, or if the failure persists.
+pub async fn read_with_retries(clock: &Clock, path: &Path) -> io::Result<Vec<u8>> {
+    let deadline = clock.now() + READ_TIMEOUT_MS;
     loop {
         match std::fs::read(path) {
-            Err(error) if may_pass(&error) && clock.now() < until => {
-                tracing::warn!(%error, "{} can't be read yet", path.display());
-                clock.sleep(READ_AGAIN_MS).await;
+            Err(error) if is_temporary(&error) && clock.now() < deadline => {
+                tracing::warn!(%error, "cannot read {} yet, retrying", path.display());
+                clock.sleep(READ_RETRY_INTERVAL_MS).await;
             }
-            done => return done,
+            result => return result,
         }
     }
 }
 
-fn may_pass(error: &io::Error) -> bool {
+fn is_temporary(error: &io::Error) -> bool {
     use io::ErrorKind::{IsADirectory, NotADirectory, NotFound, PermissionDenied};
     !matches!(error.kind(), IsADirectory | NotADirectory | NotFound | PermissionDenied)
 }
--- a/node/src/operations/handover.rs
+++ b/node/src/operations/handover.rs
@@ -1,8 +1,9 @@
-//! Upgrades: a process that is started while another serves takes its place.
+//! Process upgrades: a process started while another one serves takes over from it.
 //!
-//! The socket lies in `$TMPDIR`, which both processes share. Who is started asks there first. It gets
-//! the listening sockets themselves, the clients' and this one, so that there is one queue of clients
-//! and one place to ask, and a snapshot. From then on the link tells each what the other must know.
+//! The Unix socket is in `$TMPDIR`, which both processes share. A starting process connects to it first. It
+//! receives the listening sockets themselves, that for clients and that for successors, so that there is a
+//! single accept queue and a single rendezvous point, and a snapshot of the state. Afterwards the two
+//! processes inform each other of changes over the link.
 
 use crate::core::Core;
 use crate::exchange::{Exchange, Passed, Socket};
@@ -11,7 +12,9 @@
 use crate::io::listener::Listener;
 use crate::membership::directory::Directory;
 use crate::membership::discovery::Discovery;
-use crate::protocol::handover::{self as syntax, Connection, Hello, Holds, LONGEST, Snapshot, VERSION, Word};
+use crate::protocol::handover::{
+    self as syntax, Connection, Hello, MAX_LINE_BYTES, Message, Retained, Snapshot, VERSION,
+};
 use marllink::Event;
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
@@ -30,68 +33,70 @@
 use tokio::net::{TcpStream, UnixListener, UnixStream};
 use tokio::sync::{mpsc, watch};
 
-/// A predecessor must have told all within this time ...
-const ANSWER_MS: Millis = 1_000.0;
-/// ... and a successor must take clients within this time after it has asked.
-const TAKE_MS: Millis = 2_000.0;
-/// How often a predecessor tells what it holds, if that has changed.
-const TELL_MS: Millis = 50.0;
-/// How often connections are passed on, and how many at a time at most: others must not wait long.
-const PASS_MS: Millis = 20.0;
-const PASS_MOST: usize = 16;
-/// After a failed accept so long passes before the next.
-const PAUSE_MS: Millis = 10.0;
+/// Maximum time for a predecessor to send its complete state.
+const REQUEST_TIMEOUT_MS: Millis = 1_000.0;
+/// Maximum time for a successor to start accepting clients after its request.
+const ACCEPT_TIMEOUT_MS: Millis = 2_000.0;
+/// Interval at which a predecessor reports the resources it retains, if they have changed.
+const STATUS_INTERVAL_MS: Millis = 50.0;
+/// Interval at which connections are passed to the successor, and the maximum number passed at a time. Both
+/// are small so that other work is not delayed.
+const PASS_INTERVAL_MS: Millis = 20.0;
+const PASS_BATCH_COUNT: usize = 16;
+/// Delay after a failed accept.
+const ACCEPT_RETRY_MS: Millis = 10.0;
 
-/// Where the processes of the balancer that listens here meet.
+/// Returns the path of the Unix socket for handovers of the balancer with this listen address.
 pub fn path(listen: SocketAddr) -> PathBuf {
     std::env::temp_dir().join(format!("marllink-{listen}.sock"))
 }
 
 /// What a predecessor has handed over.
-pub struct Heritage {
-    /// All that it knows.
+pub struct Inherited {
+    /// The predecessor's state.
     pub snapshot: Snapshot,
-    /// Where clients connect.
+    /// The listening socket for clients.
     pub clients: Listener,
-    /// Where the next successor asks.
+    /// The listening socket for the next successor.
     pub successors: UnixListener,
-    /// The link to it.
+    /// The link to the predecessor.
     link: Link,
 }
 
-/// Asks a predecessor for all it has. `None` if there is none, or none that answers in time.
-pub async fn ask(path: &Path, clock: &Clock) -> Option<Heritage> {
-    // Nobody answers there any more: what lies there is stale.
+/// Requests a handover from a predecessor. Returns `None` if there is no predecessor, or if it does not
+/// answer in time.
+pub async fn request(path: &Path, clock: &Clock) -> Option<Inherited> {
+    // A failed connect means that no process listens any more and the socket file is stale.
     let link = UnixStream::connect(path).await.ok()?;
-    match clock.within(ANSWER_MS, receive(link)).await {
-        Some(Ok(heritage)) => Some(heritage),
+    match clock.within(REQUEST_TIMEOUT_MS, receive(link)).await {
+        Some(Ok(inherited)) => Some(inherited),
         Some(Err(error)) => {
-            tracing::warn!("the process before hands nothing over: {error}");
+            tracing::warn!("no handover from the predecessor: {error}");
             None
         }
         None => {
-            tracing::warn!("the process before says nothing");
+            tracing::warn!("no handover from the predecessor: no response in time");
             None
         }
     }
 }
 
-async fn receive(link: UnixStream) -> io::Result<Heritage> {
+async fn receive(link: UnixStream) -> io::Result<Inherited> {
     let mut link = Link { stream: Rc::new(link), read: Vec::new(), sockets: VecDeque::new() };
-    send(&link.stream, &syntax::written(&Hello { version: VERSION }), &[]).await?;
+    send(&link.stream, &syntax::encode(&Hello { version: VERSION }), &[]).await?;
     let line = link.line().await?;
-    let snapshot = syntax::snapshot(&line).map_err(|reason| {
-        tracing::debug!("told: {}", String::from_utf8_lossy(&line));
+    let snapshot = syntax::decode_snapshot(&line).map_err(|reason| {
+        tracing::debug!("handover snapshot as received: {}", String::from_utf8_lossy(&line));
         io::Error::other(reason)
     })?;
     let [clients, successors] =
-        link.take_sockets().ok_or_else(|| io::Error::other("no listening sockets"))?;
+        link.take_sockets().ok_or_else(|| io::Error::other("the listening sockets are missing"))?;
     let clients = Listener::from_std(clients.into())?;
     let successors = UnixListener::from_std(successors.into())?;
-    Ok(Heritage { snapshot, clients, successors, link })
+    Ok(Inherited { snapshot, clients, successors, link })
 }
 
-/// One end of a link: lines, and the sockets that came with them.
+/// One end of a link: lines, and the sockets that arrived with them.
 pub struct Link {
     stream: Rc<UnixStream>,
     read: Vec<u8>,
@@ -99,28 +104,28 @@
 }
 
 impl Link {
-    /// The next line. May be given up while it waits; nothing is lost by that.
+    /// Returns the next line. Cancel safe: no data is lost if the future is dropped.
     async fn line(&mut self) -> io::Result<Vec<u8>> {
-        let mut seen = 0;
+        let mut scanned = 0;
         loop {
-            if let Some(end) = self.read[seen..].iter().position(|b| *b == b'\n') {
-                return Ok(self.read.drain(..=seen + end).collect());
+            if let Some(end) = self.read[scanned..].iter().position(|b| *b == b'\n') {
+                return Ok(self.read.drain(..=scanned + end).collect());
             }
-            seen = self.read.len();
-            if seen > LONGEST {
-                return Err(io::Error::other("a line without an end"));
+            scanned = self.read.len();
+            if scanned > MAX_LINE_BYTES {
+                return Err(io::Error::other("the line exceeds the size limit"));
             }
             self.stream.readable().await?;
             let mut bytes = [0; 16 * 1024];
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
             let mut control = RecvAncillaryBuffer::new(&mut space);
-            let got = self.stream.try_io(Interest::READABLE, || {
+            let received = self.stream.try_io(Interest::READABLE, || {
                 let into = &mut [IoSliceMut::new(&mut bytes)];
                 Ok(recvmsg(&*self.stream, into, &mut control, RecvFlags::CMSG_CLOEXEC)?.bytes)
             });
-            match got {
+            match received {
                 Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
-                Ok(got) => self.read.extend_from_slice(&bytes[..got]),
+                Ok(received) => self.read.extend_from_slice(&bytes[..received]),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => continue,
                 Err(e) => return Err(e),
             }
@@ -132,23 +137,24 @@
         }
     }
 
-    /// The two sockets that came with a line.
+    /// Takes the two sockets that arrived with a line.
     fn take_sockets(&mut self) -> Option<[OwnedFd; 2]> {
         Some([self.sockets.pop_front()?, self.sockets.pop_front()?])
     }
 
-    /// Hears words until the link ends; `heard` is given the sockets as well.
-    async fn hear(&mut self, heard: impl Fn(Word, &mut Self)) {
+    /// Receives messages until the link ends and calls `on_message` for each, with access to the received
+    /// sockets.
+    async fn receive_all(&mut self, on_message: impl Fn(Message, &mut Self)) {
         while let Ok(line) = self.line().await {
-            match syntax::read(&line) {
-                Some(word) => heard(word, self),
+            match syntax::decode(&line) {
+                Some(message) => on_message(message, self),
                 None => return,
             }
         }
     }
 }
 
-/// Sends a line, with sockets if there are any; they go with its first byte.
+/// Sends a line, with sockets if any; they are attached to its first byte.
 async fn send(link: &UnixStream, mut line: &[u8], mut sockets: &[BorrowedFd<'_>]) -> io::Result<()> {
     while !line.is_empty() {
         link.writable().await?;
@@ -169,33 +175,33 @@
     Ok(())
 }
 
-/// Something to say, and the sockets that go with it, which are closed here once it is said.
-struct Said {
-    word: Word,
+/// An outgoing message, and the sockets to send with it, which are closed here afterwards.
+struct Outgoing {
+    message: Message,
     sockets: Vec<Socket>,
 }
 
-impl From<Word> for Said {
-    fn from(word: Word) -> Self {
-        Self { word, sockets: Vec::new() }
+impl From<Message> for Outgoing {
+    fn from(message: Message) -> Self {
+        Self { message, sockets: Vec::new() }
     }
 }
 
-/// Says words until the link breaks.
-async fn say_all(link: Rc<UnixStream>, mut words: mpsc::UnboundedReceiver<Said>) {
-    while let Some(Said { word, sockets }) = words.recv().await {
+/// Sends messages until the link breaks.
+async fn send_all(link: Rc<UnixStream>, mut messages: mpsc::UnboundedReceiver<Outgoing>) {
+    while let Some(Outgoing { message, sockets }) = messages.recv().await {
         let borrowed: Vec<_> = sockets.iter().map(|(socket, _)| socket.as_fd()).collect();
-        if send(&link, &syntax::written(&word), &borrowed).await.is_err() {
+        if send(&link, &syntax::encode(&message), &borrowed).await.is_err() {
             return;
         }
     }
     std::future::pending().await
 }
 
-/// Listens for a successor. What lies there from before is stale: nobody has answered.
+/// Listens for a successor. An existing socket file is stale, as no predecessor has answered on it.
 ///
 /// # Errors
-/// Fails if there is no such place; the balancer serves all the same.
+/// Fails if the socket can't be created; the balancer can serve without it.
 pub fn listen(path: &Path) -> io::Result<UnixListener> {
     let _ = std::fs::remove_file(path);
     let listener = UnixListener::bind(path)?;
@@ -203,41 +209,43 @@
     Ok(listener)
 }
 
-/// The socket that lies there now, to be known again; `None` if there is none.
-pub fn lies_there(path: &Path) -> Option<(u64, u64)> {
+/// Returns device and inode of the socket file, to recognize it later, or `None` if there is none.
+pub fn socket_identity(path: &Path) -> Option<(u64, u64)> {
     std::fs::metadata(path).ok().map(|socket| (socket.dev(), socket.ino()))
 }
 
-/// This process's part in handing over.
+/// The state of handovers in this process.
 pub struct Handover {
-    /// The decisions.
+    /// The decision logic.
     pub core: Rc<Core>,
-    /// For the time limits.
+    /// Measures the time limits.
     pub clock: Clock,
-    /// What of the requests a successor must know.
+    /// The requests in progress, of which a successor must know.
     pub exchange: Rc<Exchange>,
-    /// Shared by both processes.
+    /// The descriptor pool, whose limit both processes share.
     pub descriptors: Rc<Descriptors>,
-    /// The list in hand.
+    /// Provides the current list.
     pub discovery: Rc<Discovery>,
-    /// Every form host that was ever listed.
+    /// Every server that was ever listed.
     pub directory: Rc<Directory>,
-    /// Clients are accepted; a process that has handed over does not.
+    /// True while this process accepts clients; false after it has handed over.
     pub serving: watch::Sender<bool>,
-    /// The text of the configuration in force.
+    /// The text of the active configuration.
     pub config: RefCell<String>,
-    /// SIGTERM has come: this process will not serve again.
-    pub leaving: Cell<bool>,
-    /// This process is about to end: who asks now, or has not asked yet, is sent elsewhere.
-    pub ending: watch::Sender<bool>,
-    /// What the predecessor holds, as last told, less what has come over since.
-    before: RefCell<Holds>,
-    /// The links that are open, to say something by.
-    links: RefCell<Vec<mpsc::UnboundedSender<Said>>>,
+    /// SIGTERM was received: this process will not serve again.
+    pub shutting_down: Cell<bool>,
+    /// This process is about to exit: clients that send a request now, or have not sent one yet, are sent
+    /// elsewhere.
+    pub terminating: watch::Sender<bool>,
+    /// The resources that the predecessor retains, as last reported, minus those passed to this process
+    /// since.
+    predecessor: RefCell<Retained>,
+    /// The open links, for sending messages.
+    links: RefCell<Vec<mpsc::UnboundedSender<Outgoing>>>,
 }
 
 impl Handover {
-    /// The part of a process with these.
+    /// Creates the handover state.
     pub fn new(
         core: Rc<Core>,
         clock: Clock,
@@ -256,165 +264,172 @@
             directory,
             serving: watch::Sender::new(false),
             config: config.into(),
-            leaving: Cell::default(),
-            ending: watch::Sender::new(false),
-            before: RefCell::default(),
+            shutting_down: Cell::default(),
+            terminating: watch::Sender::new(false),
+            predecessor: RefCell::default(),
             links: RefCell::default(),
         })
     }
 
-    /// Operators have taken a form host out or put it back: the other process is told at once.
-    pub fn tell_maintenance(&self, server: marllink::ServerId, begins: bool) {
-        self.links.borrow_mut().retain(|link| link.send(Word::Maintenance { server, begins }.into()).is_ok());
+    /// Informs the other process immediately that operators have put a server into maintenance or back into
+    /// service.
+    pub fn notify_maintenance(&self, server: marllink::ServerId, begins: bool) {
+        self.links
+            .borrow_mut()
+            .retain(|link| link.send(Message::Maintenance { server, begins }.into()).is_ok());
     }
 
-    /// Begins where the predecessor stands: what it holds counts here as well. To be called once
-    /// clients can be taken.
-    pub fn follow(self: &Rc<Self>, heritage: Snapshot, mut link: Link) {
-        heritage.knowledge.into_iter().for_each(|known| self.core.feed(Event::TakeOver(known)));
-        self.predecessor_holds(heritage.holds);
-        let (say, words) = mpsc::unbounded_channel();
-        let _ = say.send(Word::Taking.into());
-        self.links.borrow_mut().push(say);
+    /// Continues from the predecessor's state and counts the resources it retains. Must be called once
+    /// clients can be accepted.
+    pub fn follow_predecessor(self: &Rc<Self>, inherited: Snapshot, mut link: Link) {
+        inherited.knowledge.into_iter().for_each(|known| self.core.feed(Event::TakeOver(known)));
+        self.update_predecessor(inherited.retained);
+        let (outgoing, messages) = mpsc::unbounded_channel();
+        let _ = outgoing.send(Message::AcceptingClients.into());
+        self.links.borrow_mut().push(outgoing);
         let this = self.clone();
         tokio::task::spawn_local(async move {
             let writer = link.stream.clone();
-            let heard = |word, link: &mut Link| match word {
-                Word::Holds(holds) => this.predecessor_holds(holds),
-                Word::Maintenance { server, begins } => this.core.feed(Event::Maintenance { server, begins }),
-                Word::Connection(told) => {
-                    let Some([client, host]) = link.take_sockets() else { return };
-                    match (connection(client), connection(host)) {
-                        (Ok(client), Ok(host)) => this.adopt(told, client, host),
+            let on_message = |message, link: &mut Link| match message {
+                Message::Retained(retained) => this.update_predecessor(retained),
+                Message::Maintenance { server, begins } => {
+                    this.core.feed(Event::Maintenance { server, begins })
+                }
+                Message::Connection(connection) => {
+                    let Some([client, server]) = link.take_sockets() else { return };
+                    match (to_stream(client), to_stream(server)) {
+                        (Ok(client), Ok(server)) => this.adopt(connection, client, server),
                         (Err(error), _) | (_, Err(error)) => {
-                            tracing::error!(%error, "a connection could not be taken over");
+                            tracing::error!(%error, "failed to take over a connection");
                         }
                     }
                 }
-                Word::Taking => {}
+                Message::AcceptingClients => {}
             };
             tokio::select! {
-                () = link.hear(heard) => {}
-                () = say_all(writer, words) => {}
+                () = link.receive_all(on_message) => {}
+                () = send_all(writer, messages) => {}
             }
-            tracing::info!("the process before has ended");
-            this.predecessor_holds(Holds::default());
+            tracing::info!("the predecessor has ended");
+            this.update_predecessor(Retained::default());
         });
     }
 
-    fn predecessor_holds(&self, holds: Holds) {
-        self.descriptors.leave(holds.descriptors);
-        self.exchange.held_elsewhere(holds.ids.clone());
-        self.core.feed(Event::Elsewhere(holds.holdings.clone()));
-        self.before.replace(holds);
+    fn update_predecessor(&self, retained: Retained) {
+        self.descriptors.reserve_for_predecessor(retained.descriptors);
+        self.exchange.held_elsewhere(retained.ids.clone());
+        self.core.feed(Event::Elsewhere(retained.holdings.clone()));
+        self.predecessor.replace(retained);
     }
 
-    /// Goes on with a connection of the predecessor's. It must not count twice until that tells again
-    /// what it holds: a host would look twice as loaded, and be relieved.
-    fn adopt(&self, told: Connection, client: TcpStream, host: TcpStream) {
-        let mut before = self.before.borrow_mut();
-        if let Some(held) = before.holdings.iter_mut().find(|held| held.server == told.server) {
-            held.open = held.open.saturating_sub(1);
-            held.load -= told.load;
-            self.core.feed(Event::Elsewhere(before.holdings.clone()));
+    /// Takes over a connection from the predecessor. Until the predecessor's next report, the connection must
+    /// not be counted twice: its server would appear to have twice the load, and be relieved of connections.
+    fn adopt(&self, connection: Connection, client: TcpStream, server: TcpStream) {
+        let mut predecessor = self.predecessor.borrow_mut();
+        if let Some(holding) =
+            predecessor.holdings.iter_mut().find(|holding| holding.server == connection.server)
+        {
+            holding.open = holding.open.saturating_sub(1);
+            holding.load -= connection.load;
+            self.core.feed(Event::Elsewhere(predecessor.holdings.clone()));
         }
-        drop(before);
-        self.exchange.adopt(told, client, host);
+        drop(predecessor);
+        self.exchange.adopt(connection, client, server);
     }
 
-    /// Hands over to successors for ever.
+    /// Hands over to successors, forever.
     pub async fn listen(self: Rc<Self>, successors: UnixListener, clients: Rc<Listener>) {
         loop {
-            // Who has handed over has no say any more in who comes next.
+            // A process that has handed over no longer serves successors.
             let mut serving = self.serving.subscribe();
             if serving.wait_for(|serving| *serving).await.is_err() {
                 return;
             }
-            let asked = tokio::select! {
-                asked = successors.accept() => asked,
+            let accepted = tokio::select! {
+                accepted = successors.accept() => accepted,
                 _ = serving.wait_for(|serving| !*serving) => continue,
             };
-            match asked {
+            match accepted {
                 Ok((link, _)) => self.hand_over(link, &clients, &successors).await,
                 Err(error) => {
-                    tracing::warn!(%error, "a successor could not be heard");
-                    self.clock.sleep(PAUSE_MS).await;
+                    tracing::warn!(%error, "failed to accept a successor");
+                    self.clock.sleep(ACCEPT_RETRY_MS).await;
                 }
             }
         }
     }
 
     async fn hand_over(&self, link: UnixStream, clients: &Listener, successors: &UnixListener) {
-        let (say, words) = mpsc::unbounded_channel();
+        let (outgoing, messages) = mpsc::unbounded_channel();
         let mut link = Link { stream: Rc::new(link), read: Vec::new(), sockets: VecDeque::new() };
         let writer = link.stream.clone();
-        let telling = async {
+        let negotiation = async {
             let hello = link.line().await.ok()?;
-            if syntax::read::<Hello>(&hello)?.version != VERSION {
+            if syntax::decode::<Hello>(&hello)?.version != VERSION {
                 return None;
             }
-            let told = syntax::written(&self.snapshot());
-            // What changes from here on goes over the link.
-            self.links.borrow_mut().push(say.clone());
-            send(&writer, &told, &[clients.as_fd(), successors.as_fd()]).await.ok()?;
-            matches!(syntax::read(&link.line().await.ok()?), Some(Word::Taking)).then_some(())
+            let snapshot = syntax::encode(&self.snapshot());
+            // Later changes are sent over the link.
+            self.links.borrow_mut().push(outgoing.clone());
+            send(&writer, &snapshot, &[clients.as_fd(), successors.as_fd()]).await.ok()?;
+            matches!(syntax::decode(&link.line().await.ok()?), Some(Message::AcceptingClients)).then_some(())
         };
-        let Some(Some(())) = self.clock.within(TAKE_MS, telling).await else {
-            tracing::warn!("a successor asked and did not take over");
+        let Some(Some(())) = self.clock.within(ACCEPT_TIMEOUT_MS, negotiation).await else {
+            tracing::warn!("a successor requested a handover and did not complete it");
             return;
         };
-        tracing::info!(requests = self.exchange.len(), "a successor takes clients");
+        tracing::info!(requests = self.exchange.len(), "a successor accepts clients");
         self.serving.send_replace(false);
-        let heard = |word, _: &mut Link| {
-            if let Word::Maintenance { server, begins } = word {
+        let on_message = |message, _: &mut Link| {
+            if let Message::Maintenance { server, begins } = message {
                 self.core.feed(Event::Maintenance { server, begins });
             }
         };
         tokio::select! {
-            () = link.hear(heard) => {}
-            () = say_all(writer, words) => {}
-            () = self.tell_holds(&say) => {}
-            () = self.pass_connections(&say) => {}
+            () = link.receive_all(on_message) => {}
+            () = send_all(writer, messages) => {}
+            () = self.report_retained(&outgoing) => {}
+            () = self.pass_connections(&outgoing) => {}
         }
-        if !self.leaving.get() {
-            tracing::warn!("the successor has ended: this process takes clients again");
-            self.descriptors.untrim();
+        if !self.shutting_down.get() {
+            tracing::warn!("the successor has ended: this process accepts clients again");
+            self.descriptors.undo_trim();
             self.serving.send_replace(true);
         }
     }
 
-    /// Tells what this process holds whenever that has changed, for ever.
-    async fn tell_holds(&self, say: &mpsc::UnboundedSender<Said>) {
-        let mut told = None;
+    /// Reports the resources that this process retains whenever they have changed, forever.
+    async fn report_retained(&self, outgoing: &mpsc::UnboundedSender<Outgoing>) {
+        let mut last_sent = None;
         loop {
-            let holds = self.holds();
-            if told.as_ref() != Some(&holds) {
-                let _ = say.send(Word::Holds(holds.clone()).into());
-                told = Some(holds);
+            let retained = self.retained();
+            if last_sent.as_ref() != Some(&retained) {
+                let _ = outgoing.send(Message::Retained(retained.clone()).into());
+                last_sent = Some(retained);
             }
-            self.clock.sleep(TELL_MS).await;
+            self.clock.sleep(STATUS_INTERVAL_MS).await;
         }
     }
 
-    /// Once SIGTERM has come, passes on what stands and can be passed, for ever.
-    async fn pass_connections(&self, say: &mpsc::UnboundedSender<Said>) {
-        let (to, mut passed) = mpsc::unbounded_channel();
+    /// After SIGTERM, passes established connections that can be passed to the successor, forever.
+    async fn pass_connections(&self, outgoing: &mpsc::UnboundedSender<Outgoing>) {
+        let (sender, mut passed) = mpsc::unbounded_channel();
         loop {
             tokio::select! {
                 Some(Passed { connection, sockets }) = passed.recv() => {
-                    let _ = say.send(Said { word: Word::Connection(connection), sockets: sockets.into() });
+                    let _ = outgoing.send(Outgoing { message: Message::Connection(connection), sockets: sockets.into() });
                 }
-                () = self.clock.sleep(PASS_MS) => {
-                    if self.leaving.get() {
-                        self.exchange.hand_off(PASS_MOST, &to);
+                () = self.clock.sleep(PASS_INTERVAL_MS) => {
+                    if self.shutting_down.get() {
+                        self.exchange.hand_off(PASS_BATCH_COUNT, &sender);
                     }
                 }
             }
         }
     }
 
-    fn holds(&self) -> Holds {
-        Holds {
+    fn retained(&self) -> Retained {
+        Retained {
             descriptors: self.descriptors.trim(),
             ids: self.exchange.ids_in_use(),
             holdings: self.core.holdings(),
@@ -422,9 +437,9 @@
     }
 
     fn snapshot(&self) -> Snapshot {
-        let holds = self.holds();
-        // Nothing is given up before the successor takes clients.
-        self.descriptors.untrim();
+        let retained = self.retained();
+        // Nothing is released before the successor accepts clients.
+        self.descriptors.undo_trim();
         Snapshot {
             version: VERSION,
             config: self.config.borrow().clone(),
@@ -432,19 +447,19 @@
             list: self.discovery.list(),
             addresses: self.directory.all(),
             knowledge: Some(self.core.knowledge()),
-            holds,
+            retained,
         }
     }
 }
 
-impl Heritage {
-    /// Takes it apart: the snapshot, the link, and the two sockets that are listened on.
-    pub fn parts(self) -> (Snapshot, Link, Listener, UnixListener) {
+impl Inherited {
+    /// Returns the snapshot, the link, and the two listening sockets.
+    pub fn into_parts(self) -> (Snapshot, Link, Listener, UnixListener) {
         (self.snapshot, self.link, self.clients, self.successors)
     }
 }
 
-/// A socket of a connection, as this runtime uses it.
-fn connection(socket: OwnedFd) -> io::Result<TcpStream> {
+/// Registers a connection's socket with the event loop.
+fn to_stream(socket: OwnedFd) -> io::Result<TcpStream> {
     TcpStream::from_std(socket.into())
 }
--- a/node/src/operations/mod.rs
+++ b/node/src/operations/mod.rs
@@ -1,5 +1,6 @@
-//! What operators do to a running process, and what they tell it.
+//! Operation of a running process: configuration, reload, handover, maintenance and shutdown.
 
+pub mod active_settings;
 pub mod admin;
 pub mod config;
 pub mod features;
@@ -9,4 +10,3 @@
 pub mod reload;
 pub mod shutdown;
 pub mod state;
-pub mod tuning;
--- a/node/src/operations/reload.rs
+++ b/node/src/operations/reload.rs
@@ -1,29 +1,29 @@
-//! A new configuration while running: SIGHUP.
+//! Configuration reload on SIGHUP.
 
+use crate::operations::active_settings::ActiveSettings;
 use crate::operations::config::{self, Config};
 use crate::operations::features::{self, Features};
 use crate::operations::file;
 use crate::operations::handover::Handover;
-use crate::operations::tuning::Tuning;
 use marllink::Event;
 use marllink_sessions::Event as SessionEvent;
 use std::path::Path;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Listens for SIGHUP from now on; one that came unheard would end the program.
+/// Starts to listen for SIGHUP. Without a handler, the signal would terminate the process.
 ///
 /// # Errors
-/// Fails if the system lets no handler be set.
+/// Fails if the signal handler can't be installed.
 pub fn listen() -> std::io::Result<Signal> {
     signal(SignalKind::hangup())
 }
 
-/// Reads the file again at each SIGHUP and goes over to the settings and the discovery in it, for
-/// ever. Nothing is taken of a file that can't be read, lacks something or is wrong.
-pub async fn follow(
+/// Reloads the configuration at each SIGHUP and applies its settings and discovery address, forever. A file
+/// that can't be read, is incomplete or is invalid changes nothing.
+pub async fn run(
     mut hangup: Signal,
     running: &Config,
-    tuning: &Tuning,
+    settings: &ActiveSettings,
     handover: &Handover,
     operators: Option<&Path>,
 ) {
@@ -31,44 +31,44 @@
         let features = match features::load(operators) {
             Ok(features) => features,
             Err(message) => {
-                tracing::error!("SIGHUP: the configuration stays as it was: {message}");
+                tracing::error!("SIGHUP: configuration unchanged: {message}");
                 continue;
             }
         };
         let variable = |name: &str| std::env::var(name).ok();
         let path = variable(config::PATH_VARIABLE).unwrap_or_default();
-        let text = file::read(&handover.clock, Path::new(&path)).await;
+        let text = file::read_with_retries(&handover.clock, Path::new(&path)).await;
         let in_force = handover.config.borrow().clone();
-        let text = |_: &str| text.as_ref().map(Clone::clone).map_err(config::copied);
-        let read = config::reload(variable, text, &in_force);
-        match read {
+        let text = |_: &str| text.as_ref().map(Clone::clone).map_err(config::clone_error);
+        let reloaded = config::reload(variable, text, &in_force);
+        match reloaded {
             Ok(config) => {
-                tracing::info!("SIGHUP: new settings, and discovery at {}", config.discovery);
-                let fixed = config.only_at_start(running);
-                if !fixed.is_empty() {
-                    tracing::warn!("SIGHUP: held as it was until the next start: {}", fixed.join(", "));
+                tracing::info!("SIGHUP: new settings, discovery at {}", config.discovery);
+                let restart_only = config.requires_restart(running);
+                if !restart_only.is_empty() {
+                    tracing::warn!("SIGHUP: takes effect only after a restart: {}", restart_only.join(", "));
                 }
-                // All at once: nothing can happen between these.
-                tuning.change(config.settings.follow(&tuning.now()));
+                // There is no await between these calls, so the new settings take effect atomically.
+                settings.replace(config.settings.follow(&settings.current()));
                 handover.exchange.retuned();
-                handover.core.feed(Event::Settings(tuning.now().decisions.clone()));
-                handover.discovery.go_over_to(config.discovery);
+                handover.core.feed(Event::Settings(settings.current().decisions.clone()));
+                handover.discovery.switch_to(config.discovery);
                 handover.config.replace(config.text);
-                retune(handover, features);
+                apply_features(handover, features);
             }
-            Err(message) => tracing::error!("SIGHUP: the configuration stays as it was: {message}"),
+            Err(message) => tracing::error!("SIGHUP: configuration unchanged: {message}"),
         }
     }
 }
 
-/// Has what operators have switched on go over to new settings and keys.
-fn retune(handover: &Handover, features: Features) {
+/// Applies new session settings and keys from the operators' file.
+fn apply_features(handover: &Handover, features: Features) {
     match (handover.exchange.resume(), features.operators.sessions, features.keys) {
         (Some(resume), Some(sessions), Some(keys)) => {
             resume.feed(SessionEvent::Settings(sessions.settings()));
             resume.feed(SessionEvent::Keys(keys));
         }
         (None, None, _) => {}
-        _ => tracing::warn!("SIGHUP: held as it was until the next start: sessions on or off"),
+        _ => tracing::warn!("SIGHUP: takes effect only after a restart: enabling or disabling sessions"),
     }
 }
--- a/node/src/operations/shutdown.rs
+++ b/node/src/operations/shutdown.rs
@@ -1,109 +1,115 @@
-//! A planned end: SIGTERM.
+//! Graceful shutdown on SIGTERM.
 
 use crate::front::line::Clients;
 use crate::io::clock::{Clock, Millis};
 use crate::io::descriptors::Purpose;
 use crate::io::listener::Listener;
+use crate::operations::active_settings::ActiveSettings;
 use crate::operations::handover::Handover;
-use crate::operations::tuning::Tuning;
 use marllink_rate_limits::ending::Ending;
 use std::rc::Rc;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// How often some are moved, and how often it is looked whether anything is left.
-const AGAIN_MS: Millis = 50.0;
-/// So long at least the last lines have to go out, however late it is: to leave at once would be no better than to be
-/// killed.
-const LAST_MS: Millis = 250.0;
+/// Interval at which connections are moved, and at which remaining work is checked.
+const TICK_MS: Millis = 50.0;
+/// Minimum time for the closing messages to be sent, even if the shutdown is late: exiting immediately would
+/// be no better than being killed.
+const FINAL_FLUSH_MS: Millis = 250.0;
 
-/// Listens for SIGTERM from now on.
+/// Starts to listen for SIGTERM.
 ///
 /// # Errors
-/// Fails if the system lets no handler be set.
+/// Fails if the signal handler can't be installed.
 pub fn listen() -> std::io::Result<Signal> {
     signal(SignalKind::terminate())
 }
 
-/// What an end has to do with.
-pub struct Leaving<'a> {
-    /// For the time limits.
+/// What a shutdown operates on.
+pub struct Shutdown<'a> {
+    /// Measures the time limits.
     pub clock: &'a Clock,
-    /// The settings in force, by which the end is timed.
-    pub tuning: &'a Tuning,
+    /// The active settings, which determine the schedule of the shutdown.
+    pub settings: &'a ActiveSettings,
     /// The connections, and whether there is a successor.
     pub handover: &'a Handover,
-    /// Those who have not asked yet.
+    /// Clients that have not sent a request yet.
     pub clients: &'a Rc<Clients>,
-    /// Where they come from.
+    /// The socket on which clients arrive.
     pub listener: &'a Listener,
 }
 
-impl Leaving<'_> {
-    /// Waits for SIGTERM, and returns once every connection has been moved, every request answered and every
-    /// client has closed, or when there is no time left for that.
-    pub async fn orderly(&self, mut term: Signal) {
+impl Shutdown<'_> {
+    /// Waits for SIGTERM. Returns once every connection is moved, every request is answered and every client
+    /// has closed, or when the time is up.
+    pub async fn graceful(&self, mut term: Signal) {
         term.recv().await;
         let (clock, handover) = (self.clock, self.handover);
-        handover.leaving.set(true);
-        let told_at = clock.now();
-        let ending = Ending::within(self.tuning.now().longest_deadline_ms);
+        handover.shutting_down.set(true);
+        let started_at = clock.now();
+        let ending = Ending::within(self.settings.current().longest_deadline_ms);
         let mut serving = handover.serving.subscribe();
         tracing::info!(
             requests = handover.exchange.len(),
             killed_after_ms = ending.killed_at,
-            "SIGTERM: serving newcomers, then moving all"
+            "SIGTERM: serving new connections, then moving all"
         );
-        // A successor may take clients at this very moment.
-        let succeeded = serving.wait_for(|serving| !*serving);
-        let succeeded = clock.within(ending.serve_until, succeeded).await.is_some();
-        let pass_until = if succeeded { clock.now() - told_at + ending.pass_until } else { 0.0 };
+        // A successor may start to accept clients at this very moment.
+        let has_successor = serving.wait_for(|serving| !*serving);
+        let has_successor = clock.within(ending.serve_until, has_successor).await.is_some();
+        let hand_over_until = if has_successor { clock.now() - started_at + ending.pass_until } else { 0.0 };
         let [from, until, leave_at] =
-            [pass_until, ending.answer_at, ending.leave_at].map(|after| told_at + after);
+            [hand_over_until, ending.answer_at, ending.leave_at].map(|after| started_at + after);
         tokio::select! {
             () = self.until_empty() => {}
-            () = self.moving(from, until, leave_at) => {}
+            () = self.move_connections(from, until, leave_at) => {}
         }
-        tracing::info!(requests = handover.exchange.len(), openings = self.openings(), "leaving");
+        tracing::info!(requests = handover.exchange.len(), openings = self.pending_connections(), "exiting");
     }
 
-    /// Moves all that stand evenly between these times, ends whatever there is then, and waits until `leave_at` at
-    /// least for that to go out. A process that was held up until later has that time, too.
-    async fn moving(&self, from: Millis, until: Millis, leave_at: Millis) {
+    /// Moves the established connections at an even rate between `from` and `until`, then ends everything
+    /// that remains, and waits at least until `leave_at` for the closing messages to be sent. A process that
+    /// was delayed beyond that still allows time for them.
+    async fn move_connections(&self, from: Millis, until: Millis, leave_at: Millis) {
         let (clock, exchange) = (self.clock, &self.handover.exchange);
         clock.sleep(from.min(until) - clock.now()).await;
-        let mut owed = 0.0;
-        let mut answered_at = f64::INFINITY;
-        while clock.now() < leave_at.max(answered_at + LAST_MS) {
-            let left = until - clock.now();
-            // Parts of a connection add up: one at least each time would move few all at once.
-            owed += exchange.standing() as f64 * if left > AGAIN_MS { AGAIN_MS / left } else { 1.0 };
-            exchange.move_some(owed as usize);
-            owed = owed.fract();
-            if left <= 0.0 {
-                answered_at = answered_at.min(clock.now());
-                // Whoever still waits is owed an answer, too, and who has not asked yet must not wait to.
-                self.handover.ending.send_if_modified(|ending| !std::mem::replace(ending, true));
+        let mut quota = 0.0;
+        let mut final_answer_at = f64::INFINITY;
+        while clock.now() < leave_at.max(final_answer_at + FINAL_FLUSH_MS) {
+            let remaining = until - clock.now();
+            // Fractions accumulate: moving at least one connection per tick would move a small number of them
+            // all at once.
+            quota += exchange.standing() as f64 * if remaining > TICK_MS { TICK_MS / remaining } else { 1.0 };
+            exchange.move_some(quota as usize);
+            quota = quota.fract();
+            if remaining <= 0.0 {
+                final_answer_at = final_answer_at.min(clock.now());
+                // Requests that still wait need an answer too, and clients without a request yet must not
+                // start waiting.
+                self.handover
+                    .terminating
+                    .send_if_modified(|terminating| !std::mem::replace(terminating, true));
                 exchange.answer_all();
             }
-            clock.sleep(AGAIN_MS).await;
+            clock.sleep(TICK_MS).await;
         }
     }
 
-    /// Waits until nothing is left: no request, nobody who may be about to ask, and no connection on its way
-    /// to a successor, as those are until their sockets are closed here.
+    /// Waits until nothing remains: no request, no client that may be about to send one, and no connection
+    /// being passed to a successor, which counts until its sockets are closed here.
     async fn until_empty(&self) {
         loop {
-            self.clock.sleep(AGAIN_MS).await;
-            // On a machine that is behind, clients may wait to be accepted of whom the event loop has not heard.
-            let waited = *self.handover.serving.borrow() && self.clients.accept_waiting(self.listener);
-            let left = self.openings() + self.handover.descriptors.in_use(Purpose::Served);
-            if !waited && left + self.handover.exchange.len() == 0 {
+            self.clock.sleep(TICK_MS).await;
+            // On an overloaded machine, clients may be in the accept queue before the event loop reports
+            // them.
+            let accepted = *self.handover.serving.borrow() && self.clients.accept_waiting(self.listener);
+            let remaining = self.pending_connections() + self.handover.descriptors.in_use(Purpose::Served);
+            if !accepted && remaining + self.handover.exchange.len() == 0 {
                 return;
             }
         }
     }
 
-    fn openings(&self) -> usize {
-        self.handover.descriptors.in_use(Purpose::Opening)
+    fn pending_connections(&self) -> usize {
+        self.handover.descriptors.in_use(Purpose::Pending)
     }
 }
