--- a/node/src/operations/state.rs
+++ b/node/src/operations/state.rs
@@ -1,9 +1,11 @@
-//! What this balancer keeps on disk, where operators have named a folder for it, and how it comes back with that.
+//! The state that this balancer keeps on disk, if operators have configured a folder for it, and the recovery
+//! from that state.
 //!
-//! The list is kept whenever discovery tells of a change, and again while it says that nothing has changed, so that
-//! the time in the folder is when the list was last known to hold. At the start `marllink_recovery` decides which of
-//! its form hosts are let in at once and which are asked first; here they are asked, by a connection that says `PING`
-//! where the settings allow probes and nothing elsewhere.
+//! The list is stored whenever discovery reports a change, and again while discovery confirms that nothing
+//! has changed, so that the stored time is when the list was last known to be valid. At the start,
+//! `marllink_recovery` decides which servers of the list are admitted immediately and which are probed first.
+//! This module performs the probes: it connects and sends `PING` if the settings allow probes, and only
+//! connects otherwise.
 
 use crate::core::Core;
 use crate::io::clock::{Clock, Millis};
@@ -11,8 +13,8 @@
 use crate::io::descriptors::{Descriptors, Purpose};
 use crate::io::pump;
 use crate::membership::directory::Directory;
-use crate::membership::discovery::{Discovery, Keeper};
-use crate::operations::tuning::Tuning;
+use crate::membership::discovery::{Discovery, ListObserver};
+use crate::operations::active_settings::ActiveSettings;
 use crate::protocol::discovery::List;
 use marllink::ServerId;
 use marllink_config::Store;
@@ -26,175 +28,193 @@
 use std::rc::{Rc, Weak};
 use tokio::sync::Notify;
 
-/// Under which name the list is kept.
-const LIST: &str = "list";
-/// A form host that was asked answers within this, or is taken not to be there.
-const ANSWER_MS: Millis = 450.0;
+/// Record name of the list.
+const LIST_RECORD: &str = "list";
+/// Maximum time to wait for the answer to a probe. A server that does not answer in time is considered
+/// absent.
+const PROBE_TIMEOUT_MS: Millis = 450.0;
 
-/// A list as it is kept.
+/// A list as it is stored.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Kept {
-    /// The service that told it: versions of another one say nothing.
+pub struct StoredList {
+    /// The service that delivered the list: versions of different services can't be compared.
     pub discovery: SocketAddr,
     /// The list.
     pub list: List,
 }
 
-/// With which list to begin, and its age in ms if that is known. What the platform hands over has no age. A newer
-/// version never gives way to an older one, whichever of the two is on disk.
+/// Chooses the list to start with, and returns it with its age in milliseconds, if known. A list that was
+/// passed in by the platform or a predecessor has no age. An older version never replaces a newer one,
+/// whichever of them is on disk.
 #[must_use]
-pub fn choose(
+pub fn choose_list(
     known: &List,
     discovery: SocketAddr,
-    kept: Option<(Kept, Millis)>,
-    unix: Millis,
+    stored: Option<(StoredList, Millis)>,
+    unix_ms: Millis,
 ) -> (List, Option<Millis>) {
-    match kept {
-        Some((kept, at))
-            if known.targets.is_empty() || (kept.discovery == discovery && kept.list.rev >= known.rev) =>
+    match stored {
+        Some((stored, at))
+            if known.targets.is_empty()
+                || (stored.discovery == discovery && stored.list.rev >= known.rev) =>
         {
-            (kept.list, Some(unix - at))
+            (stored.list, Some(unix_ms - at))
         }
         _ => (known.clone(), None),
     }
 }
 
-/// What lies in the folder, if it can be read; why not is told.
-fn read(folder: &Path) -> Option<(Kept, Millis)> {
+/// Reads the stored list, if possible. Failures are logged.
+fn read(folder: &Path) -> Option<(StoredList, Millis)> {
     let found = match marllink_store::read(folder) {
         Ok(found) => found,
         Err(error) => {
-            tracing::warn!("the store {}: {error}; starting without", folder.display());
+            tracing::warn!("the store {}: {error}; starting without stored state", folder.display());
             return None;
         }
     };
     if found.damaged > 0 {
-        tracing::warn!("the store {}: {} bytes are damaged; the rest holds", folder.display(), found.damaged);
+        tracing::warn!(
+            "the store {}: {} bytes are damaged; the rest is used",
+            folder.display(),
+            found.damaged
+        );
     }
-    let record = found.latest.get(LIST)?;
+    let record = found.latest.get(LIST_RECORD)?;
     Some((serde_json::from_value(record.body.clone()).ok()?, record.at))
 }
 
-/// The parts of the balancer that this one deals with.
-pub struct Parts {
-    /// The decisions at work.
+/// The components that this module works with.
+pub struct Dependencies {
+    /// Runs the decision logic.
     pub core: Rc<Core>,
-    /// Time.
+    /// The clock.
     pub clock: Clock,
-    /// Who tells the list.
+    /// Delivers the list.
     pub discovery: Rc<Discovery>,
-    /// Where form hosts are reached.
+    /// Server addresses.
     pub directory: Rc<Directory>,
-    /// What asking takes.
+    /// The descriptors used by probes.
     pub descriptors: Rc<Descriptors>,
-    /// The settings in force.
-    pub tuning: Rc<Tuning>,
+    /// The active settings.
+    pub settings: Rc<ActiveSettings>,
 }
 
-/// The balancer's state on disk, and its coming back.
-pub struct State {
-    parts: Parts,
+/// The balancer's state on disk, and the recovery from it.
+pub struct StoredState {
+    dependencies: Dependencies,
     recovery: RefCell<Recovery<ServerId>>,
     writer: Writer,
     trusted_ms: Millis,
-    kept_at: Cell<Millis>,
+    stored_at: Cell<Millis>,
     changed: Notify,
-    me: Weak<State>,
+    weak_self: Weak<StoredState>,
 }
 
-impl State {
-    /// For the folder that operators have named.
+impl StoredState {
+    /// Opens the store in the folder that operators have configured.
     ///
     /// # Errors
-    /// Fails if there can be no thread that writes; a disk that fails is told of and harms nothing.
-    pub fn new(parts: Parts, store: &Store, folder: &Path, seed: u64) -> std::io::Result<Rc<Self>> {
+    /// Fails if the writer thread can't be started. A failing disk is logged and does not stop the balancer.
+    pub fn new(
+        dependencies: Dependencies,
+        store: &Store,
+        folder: &Path,
+        seed: u64,
+    ) -> std::io::Result<Rc<Self>> {
         let shown = folder.display().to_string();
-        let writer = Writer::open(folder.into(), move |so| match so {
-            Ok(()) => tracing::info!("the store {shown}: it is written again"),
-            Err(error) => tracing::warn!("the store {shown}: {error}; going on without"),
+        let writer = Writer::open(folder.into(), move |result| match result {
+            Ok(()) => tracing::info!("the store {shown}: writing works again"),
+            Err(error) => tracing::warn!("the store {shown}: {error}; continuing without it"),
         })?;
         let trusted_ms = f64::from(store.trusted_s) * 1_000.0;
         let limits = Limits { trusted_ms, at_once: usize::from(store.asked_at_once), ..Limits::default() };
-        let recovery = RefCell::new(Recovery::new(limits, seed, parts.clock.now()));
-        let (kept_at, changed) = (Cell::new(f64::MIN), Notify::new());
-        let this = Rc::new_cyclic(|me| Self {
-            parts,
+        let recovery = RefCell::new(Recovery::new(limits, seed, dependencies.clock.now()));
+        let (stored_at, changed) = (Cell::new(f64::MIN), Notify::new());
+        let this = Rc::new_cyclic(|weak_self| Self {
+            dependencies,
             recovery,
             writer,
             trusted_ms,
-            kept_at,
+            stored_at,
             changed,
-            me: me.clone(),
+            weak_self: weak_self.clone(),
         });
-        this.parts.discovery.tell_keeper(this.clone());
+        this.dependencies.discovery.attach_observer(this.clone());
         Ok(this)
     }
 
-    /// Begins with what was handed over or lies in the folder, whichever is newer.
+    /// Starts with the newer of the given and the stored list.
     pub fn start(&self, known: &List, folder: &Path) {
-        let Parts { discovery, clock, .. } = &self.parts;
-        let (list, age_ms) = choose(known, discovery.address(), read(folder), clock.unix());
+        let Dependencies { discovery, clock, .. } = &self.dependencies;
+        let (list, age_ms) = choose_list(known, discovery.address(), read(folder), clock.unix_ms());
         let serving = list.targets.iter().filter(|t| t.is_serving()).map(|t| t.server()).collect();
         let mut commands = Vec::new();
         self.recovery.borrow_mut().begin(clock.now(), age_ms, serving, &mut commands);
         let admitted: HashSet<_> = commands
             .iter()
-            .filter_map(|c| if let Command::Admit(host) = c { Some(*host) } else { None })
+            .filter_map(|c| if let Command::Admit(server) = c { Some(*server) } else { None })
             .collect();
-        if let Some(age) = age_ms {
-            let doubted =
-                if admitted.is_empty() { "each form host is asked first" } else { "it is taken as it is" };
+        if let Some(age_ms) = age_ms {
+            let treatment =
+                if admitted.is_empty() { "each server is probed first" } else { "used without probes" };
             tracing::info!(
-                "a list of {} form hosts, {:.0} s old: {doubted}",
+                "starting from a list of {} servers, {:.0} s old: {treatment}",
                 list.targets.len(),
-                age / 1_000.0
+                age_ms / 1_000.0
             );
         }
         commands.retain(|c| !matches!(c, Command::Admit(_)));
-        discovery.start_doubting(&list, &|t| t.is_serving() && !admitted.contains(&t.server()));
+        discovery.start_withholding(&list, &|t| t.is_serving() && !admitted.contains(&t.server()));
         self.carry_out(commands);
     }
 
-    /// Feeds what is due, and keeps the list fresh on disk, for ever.
-    pub async fn follow(self: Rc<Self>) {
+    /// Runs the recovery's timers and refreshes the stored list, forever.
+    pub async fn run(self: Rc<Self>) {
         let this = self.clone();
         tokio::task::spawn_local(async move {
-            this.parts.core.served().await;
-            // Before the list is good that is no service yet.
+            this.dependencies.core.served().await;
+            // Requests served before the list is confirmed don't count as service.
             while this.recovery.borrow().phase() < Phase::Listed {
-                this.parts.core.served().await;
+                this.dependencies.core.served().await;
             }
             this.handle(Event::Served);
         });
         loop {
-            let now = self.parts.clock.now();
-            let due = self.recovery.borrow().due();
-            let wait = due.map_or(self.trusted_ms / 4.0, |due| (due - now).clamp(1.0, self.trusted_ms / 4.0));
+            let now = self.dependencies.clock.now();
+            let due_at = self.recovery.borrow().due();
+            let wait = due_at
+                .map_or(self.trusted_ms / 4.0, |due_at| (due_at - now).clamp(1.0, self.trusted_ms / 4.0));
             let changed = self.changed.notified();
             tokio::select! {
-                () = self.parts.clock.sleep(wait) => {}
+                () = self.dependencies.clock.sleep(wait) => {}
                 () = changed => {}
             }
-            if due.is_some_and(|due| due <= self.parts.clock.now()) {
+            if due_at.is_some_and(|due_at| due_at <= self.dependencies.clock.now()) {
                 self.step(Event::Due);
             }
-            let heard = self.parts.discovery.heard_at();
-            if heard > self.kept_at.get() + self.trusted_ms / 4.0 {
-                self.keep(&self.parts.discovery.list());
+            let last_contact_at = self.dependencies.discovery.last_contact_at();
+            if last_contact_at > self.stored_at.get() + self.trusted_ms / 4.0 {
+                self.store_list(&self.dependencies.discovery.list());
             }
         }
     }
 
-    fn keep(&self, list: &List) {
-        self.kept_at.set(self.parts.clock.now());
-        let kept = Kept { discovery: self.parts.discovery.address(), list: list.clone() };
-        match serde_json::to_value(kept) {
-            Ok(body) => self.writer.keep(Record { name: LIST.into(), at: self.parts.clock.unix(), body }),
-            Err(error) => tracing::warn!("the list can't be kept: {error}"),
+    fn store_list(&self, list: &List) {
+        self.stored_at.set(self.dependencies.clock.now());
+        let stored = StoredList { discovery: self.dependencies.discovery.address(), list: list.clone() };
+        match serde_json::to_value(stored) {
+            Ok(body) => self.writer.keep(Record {
+                name: LIST_RECORD.into(),
+                at: self.dependencies.clock.unix_ms(),
+                body,
+            }),
+            Err(error) => tracing::warn!("the list can't be stored: {error}"),
         }
     }
 
-    /// Feeds an event from elsewhere: what is due may be another time now.
+    /// Handles an event from outside the timer loop. The loop is woken, as the next due time may have
+    /// changed.
     fn handle(&self, event: Event<ServerId>) {
         self.step(event);
         self.changed.notify_one();
@@ -202,43 +222,51 @@
 
     fn step(&self, event: Event<ServerId>) {
         let mut commands = Vec::new();
-        self.recovery.borrow_mut().handle(self.parts.clock.now(), event, &mut commands);
+        self.recovery.borrow_mut().handle(self.dependencies.clock.now(), event, &mut commands);
         self.carry_out(commands);
     }
 
     fn carry_out(&self, commands: Vec<Command<ServerId>>) {
-        let admitted = |c: &Command<ServerId>| if let Command::Admit(host) = c { Some(*host) } else { None };
+        let admitted =
+            |c: &Command<ServerId>| if let Command::Admit(server) = c { Some(*server) } else { None };
         let admitted: Vec<_> = commands.iter().filter_map(admitted).collect();
         if !admitted.is_empty() {
-            self.parts.discovery.admit(&admitted);
+            self.dependencies.discovery.admit(&admitted);
         }
         for command in commands {
             match command {
-                Command::Ask(host) => self.ask(host),
+                Command::Ask(server) => self.probe(server),
                 Command::Phase(phase) => {
                     let recovery = self.recovery.borrow();
-                    let took = recovery.spent().last().map_or(0.0, |spent| spent.1);
-                    tracing::info!("phase {}, after {took:.0} ms", phase.name());
+                    let elapsed_ms = recovery.spent().last().map_or(0.0, |spent| spent.1);
+                    tracing::info!("phase {}, after {elapsed_ms:.0} ms", phase.name());
                 }
                 Command::Admit(_) => {}
             }
         }
     }
 
-    fn ask(&self, host: ServerId) {
-        let Some(this) = self.me.upgrade() else { return };
+    fn probe(&self, server: ServerId) {
+        let Some(this) = self.weak_self.upgrade() else { return };
         tokio::task::spawn_local(async move {
-            let there = this.parts.clock.within(ANSWER_MS, this.is_there(host)).await.unwrap_or(false);
-            this.handle(Event::Answered { host, there });
+            let responsive = this
+                .dependencies
+                .clock
+                .within(PROBE_TIMEOUT_MS, this.responds(server))
+                .await
+                .unwrap_or(false);
+            this.handle(Event::Answered { host: server, there: responsive });
         });
     }
 
-    /// Whether a form host is there.
-    async fn is_there(&self, host: ServerId) -> bool {
-        let Some(_descriptor) = self.parts.descriptors.take(Purpose::Served) else { return false };
-        let Some(address) = self.parts.directory.address(host) else { return false };
-        let Ok(stream) = connect(&self.parts.clock, address, ANSWER_MS).await else { return false };
-        if !self.parts.tuning.now().decisions.limits.probe {
+    /// Returns true if the server responds.
+    async fn responds(&self, server: ServerId) -> bool {
+        let Some(_descriptor) = self.dependencies.descriptors.acquire(Purpose::Served) else { return false };
+        let Some(address) = self.dependencies.directory.address(server) else { return false };
+        let Ok(stream) = connect(&self.dependencies.clock, address, PROBE_TIMEOUT_MS).await else {
+            return false;
+        };
+        if !self.dependencies.settings.current().decisions.limits.probe {
             return true;
         }
         let mut answer = Vec::new();
@@ -254,11 +282,12 @@
     }
 }
 
-impl Keeper for State {
-    fn told(&self, list: List) {
-        self.keep(&list);
-        // Discovery is in the middle of telling: what follows for the decisions comes after that.
-        let Some(this) = self.me.upgrade() else { return };
+impl ListObserver for StoredState {
+    fn list_updated(&self, list: List) {
+        self.store_list(&list);
+        // Discovery is still processing the list; the recovery's commands for the decision logic follow
+        // afterwards.
+        let Some(this) = self.weak_self.upgrade() else { return };
         tokio::task::spawn_local(async move { this.handle(Event::Listed) });
     }
 }
@@ -267,29 +296,29 @@
 mod tests {
     use super::*;
 
-    fn list(rev: u64, hosts: usize) -> List {
+    fn list(rev: u64, server_count: usize) -> List {
         let target =
             |n| serde_json::json!({"uid": format!("s-{n}"), "endpoint": "127.0.0.1:1", "state": "SERVING"});
-        let targets: Vec<_> = (0..hosts).map(target).collect();
+        let targets: Vec<_> = (0..server_count).map(target).collect();
         serde_json::from_value(serde_json::json!({"rev": rev, "all": true, "targets": targets}))
-            .expect("a list")
+            .expect("a valid list")
     }
 
     #[test]
-    fn the_newer_list_of_one_service_counts_and_another_services_only_where_nothing_is_known() {
-        let here: SocketAddr = "127.0.0.1:8500".parse().expect("an address");
-        let there: SocketAddr = "127.0.0.1:8501".parse().expect("an address");
-        let kept = |discovery, rev| Some((Kept { discovery, list: list(rev, 2) }, 1_000.0));
-        let chosen = |known: &List, kept| {
-            let (list, age) = choose(known, here, kept, 5_000.0);
-            (list.rev, list.targets.len(), age)
+    fn a_stored_list_is_used_if_newer_or_if_nothing_else_is_known() {
+        let current_service: SocketAddr = "127.0.0.1:8500".parse().expect("a valid address");
+        let other_service: SocketAddr = "127.0.0.1:8501".parse().expect("a valid address");
+        let stored = |discovery, rev| Some((StoredList { discovery, list: list(rev, 2) }, 1_000.0));
+        let choose = |known: &List, stored| {
+            let (list, age_ms) = choose_list(known, current_service, stored, 5_000.0);
+            (list.rev, list.targets.len(), age_ms)
         };
-        assert_eq!(chosen(&list(41, 3), None), (41, 3, None));
-        assert_eq!(chosen(&list(41, 3), kept(here, 42)), (42, 2, Some(4_000.0)));
-        // The same version: its age is known by the one on disk.
-        assert_eq!(chosen(&list(41, 3), kept(here, 41)), (41, 2, Some(4_000.0)));
-        assert_eq!(chosen(&list(41, 3), kept(here, 40)), (41, 3, None));
-        assert_eq!(chosen(&list(41, 3), kept(there, 99)), (41, 3, None));
-        assert_eq!(chosen(&list(0, 0), kept(there, 9)), (9, 2, Some(4_000.0)));
+        assert_eq!(choose(&list(41, 3), None), (41, 3, None));
+        assert_eq!(choose(&list(41, 3), stored(current_service, 42)), (42, 2, Some(4_000.0)));
+        // With equal versions, the stored list is used because its age is known.
+        assert_eq!(choose(&list(41, 3), stored(current_service, 41)), (41, 2, Some(4_000.0)));
+        assert_eq!(choose(&list(41, 3), stored(current_service, 40)), (41, 3, None));
+        assert_eq!(choose(&list(41, 3), stored(other_service, 99)), (41, 3, None));
+        assert_eq!(choose(&list(0, 0), stored(other_service, 9)), (9, 2, Some(4_000.0)));
     }
 }
--- a/node/src/protocol/admin.rs
+++ b/node/src/protocol/admin.rs
@@ -1,41 +1,41 @@
-//! What operators ask for: HTTP/1.1, one call to a connection.
+//! Commands of the admin interface: HTTP/1.1, one request per connection.
 
-use super::http::Call;
+use super::http::RequestHead;
 
-/// What a call asks for.
+/// A command given by a request.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Asked<'a> {
-    /// Whether this process takes clients.
+pub enum Command<'a> {
+    /// Queries whether this process accepts clients.
     Health,
-    /// To take a form host out, or to put it back.
+    /// Puts a server into maintenance or back into service.
     Maintenance {
-        /// Its id, as discovery lists it.
+        /// The server's name, as listed by discovery.
         uid: &'a str,
-        /// Out if true.
+        /// True if the maintenance begins, false if it ends.
         begins: bool,
     },
 }
 
-/// The answer to a call: the status, and a word on it.
+/// The response to a request: a status and a short text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
     status: u16,
     text: &'static str,
     allow: Option<&'static str>,
 }
 
-impl Answer {
-    /// An answer of this status.
+impl Response {
+    /// Creates a response with this status.
     pub const fn new(status: u16, text: &'static str) -> Self {
         Self { status, text, allow: None }
     }
 
-    const fn allow(method: &'static str) -> Self {
-        Self { status: 405, text: "another method", allow: Some(method) }
+    const fn method_not_allowed(method: &'static str) -> Self {
+        Self { status: 405, text: "method not allowed", allow: Some(method) }
     }
 
-    /// The answer as it is written.
-    pub fn written(self) -> String {
+    /// Returns the response in its wire format.
+    pub fn to_http(self) -> String {
         let Self { status, text, allow } = self;
         let reason = match status {
             200 => "OK",
@@ -54,20 +54,20 @@
     }
 }
 
-/// Tells what a call asks for.
+/// Parses the command of a request.
 ///
 /// # Errors
-/// Gives the answer to a call that asks for nothing there is.
-pub fn asked<'a>(call: &'a Call) -> Result<Asked<'a>, Answer> {
-    let path = call.target.split('?').next().unwrap_or_default();
+/// Returns the response to a request with an unknown path or a wrong method.
+pub fn parse_command<'a>(request: &'a RequestHead) -> Result<Command<'a>, Response> {
+    let path = request.target.split('?').next().unwrap_or_default();
     let parts: Vec<_> = path.split('/').collect();
-    let (method, asked) = match parts[..] {
-        ["", "healthcheck"] => ("GET", Asked::Health),
-        ["", "form-hosts", uid, "maint"] => ("POST", Asked::Maintenance { uid, begins: true }),
-        ["", "form-hosts", uid, "ready"] => ("POST", Asked::Maintenance { uid, begins: false }),
-        _ => return Err(Answer::new(404, "no such place")),
+    let (method, command) = match parts[..] {
+        ["", "healthcheck"] => ("GET", Command::Health),
+        ["", "form-hosts", uid, "maint"] => ("POST", Command::Maintenance { uid, begins: true }),
+        ["", "form-hosts", uid, "ready"] => ("POST", Command::Maintenance { uid, begins: false }),
+        _ => return Err(Response::new(404, "not found")),
     };
-    if call.method == method { Ok(asked) } else { Err(Answer::allow(method)) }
+    if request.method == method { Ok(command) } else { Err(Response::method_not_allowed(method)) }
 }
 
 #[cfg(test)]
@@ -75,8 +75,8 @@
     use super::*;
 
     #[test]
-    fn each_call_is_told_apart_and_what_is_none_is_told_why() {
-        let calls = [
+    fn requests_map_to_commands_and_invalid_ones_to_errors() {
+        let requests = [
             ("GET", "/healthcheck"),
             ("GET", "/healthcheck?verbose=1"),
             ("POST", "/healthcheck"),
@@ -87,19 +87,19 @@
             ("POST", "/form-hosts/maint"),
             ("GET", "/"),
         ];
-        let told = calls.map(|(method, target)| {
-            let call = Call { method: method.into(), target: target.into() };
-            format!("{method} {target}: {:?}", asked(&call))
+        let parsed = requests.map(|(method, target)| {
+            let request = RequestHead { method: method.into(), target: target.into() };
+            format!("{method} {target}: {:?}", parse_command(&request))
         });
-        insta::assert_snapshot!(told.join("\n"));
-        insta::assert_snapshot!(Answer::allow("GET").written().replace('\r', "~"), @r"
+        insta::assert_snapshot!(parsed.join("\n"));
+        insta::assert_snapshot!(Response::method_not_allowed("GET").to_http().replace('\r', "~"), @r"
         HTTP/1.1 405 Method Not Allowed~
         Content-Type: text/plain~
-        Content-Length: 15~
+        Content-Length: 19~
         Allow: GET~
         Connection: close~
         ~
-        another method
+        method not allowed
         ");
     }
 }
--- a/node/src/protocol/discovery.rs
+++ b/node/src/protocol/discovery.rs
@@ -1,28 +1,28 @@
-//! Discovery's lists: JSON objects, one for the whole list or for the entries that changed.
+//! Discovery lists: JSON objects that contain the whole list or the changed entries.
 
-use super::line::number_of;
+use super::line::hash_server_name;
 use crate::io::clock::Clock;
 use marllink::{CellId, ServerEntry, ServerId, ServerState, ZoneId};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A list, or what has changed in it.
+/// A list, or the changes to it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct List {
-    /// Its version.
+    /// The version of the list.
     pub rev: u64,
-    /// It is the whole list: whoever is missing is gone.
+    /// The list is complete: servers that are missing are gone.
     pub all: bool,
     /// The entries.
     pub targets: Vec<Target>,
 }
 
-/// A form host as listed.
+/// A listed server.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Target {
-    /// The same at every balancer.
+    /// The server's name, the same at every balancer.
     pub uid: String,
-    /// Where this balancer reaches it.
+    /// The address at which this balancer reaches the server.
     pub endpoint: SocketAddr,
     #[serde(default)]
     az: String,
@@ -43,29 +43,29 @@
     Draining,
     #[serde(rename = "DELETED")]
     Deleted,
-    /// A state that may come later: nothing new goes to such a host, and what it has stays.
+    /// A state that is unknown to this version: the server receives nothing new and keeps its connections.
     #[serde(other)]
     Unknown,
 }
 
 impl Target {
-    /// True if it is no longer there.
+    /// Returns true if the server was removed.
     pub fn is_deleted(&self) -> bool {
         self.state == State::Deleted
     }
 
-    /// True if it takes new connections, as far as it is listed.
+    /// Returns true if the server is listed as accepting new connections.
     pub fn is_serving(&self) -> bool {
         self.state == State::Serving
     }
 
-    /// The id by which the decisions know it.
+    /// Returns the id used by the decision logic.
     pub fn server(&self) -> ServerId {
-        ServerId(number_of(&self.uid))
+        ServerId(hash_server_name(&self.uid))
     }
 
-    /// The entry as those take it who decide about sessions.
-    pub fn listed(&self, zones: &[String]) -> marllink_sessions::Listed {
+    /// Returns the entry in the form used by the session component.
+    pub fn session_entry(&self, zones: &[String]) -> marllink_sessions::Listed {
         marllink_sessions::Listed {
             server: self.server(),
             zone: self.zone(zones),
@@ -77,7 +77,8 @@
         ZoneId(zones.iter().position(|z| *z == self.az).map_or(u8::MAX, |at| at as u8))
     }
 
-    /// The entry as the decisions take it; a zone that the settings do not name is no one's own.
+    /// Returns the entry in the form used by the decision logic. A zone that is not in the settings is
+    /// treated as foreign to every balancer.
     pub fn entry(&self, clock: &Clock, zones: &[String]) -> ServerEntry {
         ServerEntry {
             server: self.server(),
@@ -89,45 +90,45 @@
                 State::Deleted => ServerState::Gone,
             },
             weight: self.capacity_hint,
-            started_at: clock.at_unix(self.boot_ms),
+            started_at: clock.from_unix(self.boot_ms),
         }
     }
 }
 
-/// Reads a list; `None` if the text is none.
-pub fn list(text: &[u8]) -> Option<List> {
+/// Parses a list. Returns `None` if the text is not a valid list.
+pub fn parse_list(text: &[u8]) -> Option<List> {
     serde_json::from_slice(text).ok()
 }
 
-/// What a watch brings.
+/// An item of a watch.
 #[derive(Debug, PartialEq)]
-pub enum Said {
-    /// What has changed, or all there is.
+pub enum WatchItem {
+    /// The changes, or the whole list.
     List(List),
     /// An empty line: nothing has changed.
-    Nothing,
+    Heartbeat,
 }
 
-/// Takes the first whole thing off what a watch has brought. `None` if there is none yet; `Some(None)` if what comes is
-/// none. A list may be indented and so have many lines: it is whole at its last brace. The first `seen` bytes were
-/// given before, in vain.
-pub fn take(text: &mut Vec<u8>, seen: usize) -> Option<Option<Said>> {
-    let begin = text.iter().position(|b| !b.is_ascii_whitespace()).unwrap_or(text.len());
-    if text[..begin].contains(&b'\n') {
-        text.drain(..begin);
-        return Some(Some(Said::Nothing));
+/// Removes and returns the first complete item of a watch's text. Returns `None` if no item is complete yet,
+/// and `Some(None)` if the text is malformed. A list may be indented and span several lines: it is complete
+/// at its last brace. The first `scanned` bytes were searched by earlier calls without a result.
+pub fn take_watch_item(text: &mut Vec<u8>, scanned: usize) -> Option<Option<WatchItem>> {
+    let start = text.iter().position(|b| !b.is_ascii_whitespace()).unwrap_or(text.len());
+    if text[..start].contains(&b'\n') {
+        text.drain(..start);
+        return Some(Some(WatchItem::Heartbeat));
     }
-    // A list in many pieces would be read again with each of them; it can only be whole at a brace, and nonsense at
-    // the end of a line.
-    if !text[seen.min(text.len())..].iter().any(|b| matches!(b, b'}' | b'\n')) {
+    // A list that arrives in many pieces would be parsed again with each piece. It can only be complete at a
+    // brace, and malformed text is only reported at the end of a line.
+    if !text[scanned.min(text.len())..].iter().any(|b| matches!(b, b'}' | b'\n')) {
         return None;
     }
-    let mut lists = serde_json::Deserializer::from_slice(&text[begin..]).into_iter();
+    let mut lists = serde_json::Deserializer::from_slice(&text[start..]).into_iter();
     match lists.next()? {
         Ok(list) => {
-            let end = begin + lists.byte_offset();
+            let end = start + lists.byte_offset();
             text.drain(..end);
-            Some(Some(Said::List(list)))
+            Some(Some(WatchItem::List(list)))
         }
         Err(error) if error.is_eof() => None,
         Err(_) => Some(None),
@@ -144,17 +145,17 @@
         {"uid":"s-1","endpoint":"10.1.0.20:8000","state":"ASLEEP"}]}"#;
 
     #[test]
-    fn a_list_is_read_into_entries() {
-        let list = list(LIST.as_bytes()).expect("it is well formed");
+    fn a_list_is_parsed_into_entries() {
+        let list = parse_list(LIST.as_bytes()).expect("the list is well formed");
         let zones = ["a".to_owned(), "b".to_owned()];
-        let entries: Vec<_> = list.targets.iter().map(|t| t.entry(&Clock::settable(), &zones)).collect();
+        let entries: Vec<_> = list.targets.iter().map(|t| t.entry(&Clock::manual(), &zones)).collect();
         insta::assert_debug_snapshot!((list.rev, list.all, entries));
     }
 
     #[test]
-    fn what_is_split_or_garbage_is_no_list() {
+    fn partial_or_malformed_lists_are_rejected() {
         for end in 0..LIST.len() {
-            assert_eq!(list(&LIST.as_bytes()[..end]), None);
+            assert_eq!(parse_list(&LIST.as_bytes()[..end]), None);
         }
         for bad in [
             "",
@@ -162,50 +163,50 @@
             r#"{"rev":-1,"all":true,"targets":[]}"#,
             r#"{"rev":1,"all":true,"targets":[{"uid":"x"}]}"#,
         ] {
-            assert_eq!(list(bad.as_bytes()), None, "{bad}");
+            assert_eq!(parse_list(bad.as_bytes()), None, "{bad}");
         }
     }
 
-    /// All that is whole in a text that comes in pieces of this size, and what is left over.
-    fn all(text: &str, size: usize) -> (Vec<Said>, Vec<u8>) {
-        let (mut said, mut body, mut seen) = (Vec::new(), Vec::new(), 0);
+    /// Returns all complete items of a text that arrives in pieces of `size` bytes, and the remaining bytes.
+    fn take_all(text: &str, size: usize) -> (Vec<WatchItem>, Vec<u8>) {
+        let (mut items, mut body, mut scanned) = (Vec::new(), Vec::new(), 0);
         for piece in text.as_bytes().chunks(size) {
             body.extend_from_slice(piece);
-            while let Some(whole) = take(&mut body, seen) {
-                said.push(whole.expect("it is well formed"));
-                seen = 0;
+            while let Some(item) = take_watch_item(&mut body, scanned) {
+                items.push(item.expect("the list is well formed"));
+                scanned = 0;
             }
-            seen = body.len();
+            scanned = body.len();
         }
-        (said, body)
+        (items, body)
     }
 
     #[test]
-    fn lists_and_empty_lines_are_taken_one_after_another_in_pieces_of_any_size_and_a_part_waits() {
+    fn watch_items_are_taken_whole_from_pieces_of_any_size_and_a_partial_one_waits() {
         let compact = LIST.replace(['\n', ' '], "");
-        let value: serde_json::Value = serde_json::from_str(LIST).expect("it is well formed");
-        let indented = serde_json::to_string_pretty(&value).expect("it is a value");
-        let whole = || Said::List(list(LIST.as_bytes()).expect("it is well formed"));
+        let value: serde_json::Value = serde_json::from_str(LIST).expect("the list is well formed");
+        let indented = serde_json::to_string_pretty(&value).expect("the value can be serialized");
+        let expected = || WatchItem::List(parse_list(LIST.as_bytes()).expect("the list is well formed"));
         for text in [compact.as_str(), LIST, &indented] {
             for size in [1, 2, 7, 64, 10_000] {
-                let (said, rest) = all(&format!("\r\n{text}\r\n\r\n{text}\n{}", &text[..40]), size);
-                let lists = said.iter().filter(|said| **said == whole()).count();
-                assert_eq!(lists, 2, "{size}: {said:?}");
-                assert!(said[0] == Said::Nothing && said.contains(&Said::Nothing), "{size}");
+                let (items, rest) = take_all(&format!("\r\n{text}\r\n\r\n{text}\n{}", &text[..40]), size);
+                let lists = items.iter().filter(|item| **item == expected()).count();
+                assert_eq!(lists, 2, "{size}: {items:?}");
+                assert!(items[0] == WatchItem::Heartbeat && items.contains(&WatchItem::Heartbeat), "{size}");
                 assert_eq!(rest, text.as_bytes()[..40], "{size}");
             }
         }
     }
 
     #[test]
-    fn what_is_no_list_is_told_at_the_end_of_its_line() {
+    fn malformed_text_is_reported_at_the_end_of_its_line() {
         for bad in ["no list\n", "{\"rev\":1,\n{\"rev\":2", "{\"rev\":1,\"all\":tr\n", "[]\n", "{}\n"] {
-            assert_eq!(take(&mut bad.as_bytes().to_vec(), 0), Some(None), "{bad}");
+            assert_eq!(take_watch_item(&mut bad.as_bytes().to_vec(), 0), Some(None), "{bad}");
         }
         for part in ["", "   ", "{\"rev\":1,\n", "{\"rev\":1,\"all\":false,\"targets\":[{}"] {
-            // The last of these may come to nothing, but not before it is whole.
-            let said = take(&mut part.as_bytes().to_vec(), 0);
-            assert!(matches!(said, None | Some(None)), "{part}");
+            // An incomplete text may turn out to be malformed, but must never yield an item.
+            let item = take_watch_item(&mut part.as_bytes().to_vec(), 0);
+            assert!(matches!(item, None | Some(None)), "{part}");
         }
     }
 }
--- a/node/src/protocol/handover.rs
+++ b/node/src/protocol/handover.rs
@@ -1,121 +1,124 @@
-//! What a process and its successor tell each other: JSON, one value a line.
+//! Messages between a process and its successor: JSON, one value per line.
 
 use super::discovery::List;
 use marllink::{Holding, Knowledge, ServerId};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The version of all that is written here. A successor that reads another starts plainly.
+/// The version of these formats. A successor that reads another version starts without a handover.
 pub const VERSION: u32 = 3;
-/// No snapshot comes near this; a longer line is refused.
-pub const LONGEST: usize = 16 * 1024 * 1024;
+/// Maximum length of a line, well above that of any snapshot. A longer line is rejected.
+pub const MAX_LINE_BYTES: usize = 16 * 1024 * 1024;
 
-/// What a successor begins with.
+/// The successor's first message.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub struct Hello {
-    /// Its [`VERSION`].
+    /// The successor's [`VERSION`].
     pub version: u32,
 }
 
-/// All that a successor needs to go on.
+/// The state that a successor needs to continue.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// The predecessor's [`VERSION`].
     pub version: u32,
-    /// The text of the configuration in force.
+    /// The text of the active configuration.
     pub config: String,
-    /// Discovery as it is asked now.
+    /// The address of the discovery service in use.
     pub discovery: SocketAddr,
-    /// The list in hand.
+    /// The current list.
     pub list: List,
-    /// Every form host that was ever listed.
+    /// Every server that was ever listed.
     pub addresses: Vec<(ServerId, SocketAddr)>,
-    /// What the decisions know. Where that can't be read the rest still holds.
-    #[serde(deserialize_with = "knowledge_or_nothing")]
+    /// The state of the decision logic. The rest of the snapshot is valid even if this can't be decoded.
+    #[serde(deserialize_with = "knowledge_or_none")]
     pub knowledge: Option<Knowledge>,
-    /// What the predecessor holds.
-    pub holds: Holds,
+    /// The resources that the predecessor retains.
+    #[serde(rename = "holds")]
+    pub retained: Retained,
 }
 
-/// What is known is worth less than that clients find one queue and connections go on: a figure that can't
-/// be read, as one that is not finite, costs what is known, and not the hand-over.
-fn knowledge_or_nothing<'a, D: serde::Deserializer<'a>>(from: D) -> Result<Option<Knowledge>, D::Error> {
+/// A single accept queue and surviving connections matter more than this knowledge: if it can't be decoded,
+/// for example because a number is not finite, it is dropped and the handover continues.
+fn knowledge_or_none<'a, D: serde::Deserializer<'a>>(from: D) -> Result<Option<Knowledge>, D::Error> {
     let read = serde_json::from_value(serde_json::Value::deserialize(from)?);
-    Ok(read.inspect_err(|e| tracing::warn!("what the process before knows can't be read: {e}")).ok())
+    Ok(read.inspect_err(|e| tracing::warn!("cannot decode the predecessor's state: {e}")).ok())
 }
 
-/// What a process that has handed over still holds.
+/// The resources that a process retains after a handover.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Holds {
-    /// Descriptors at most, from now on.
+pub struct Retained {
+    /// Maximum number of descriptors from now on.
     pub descriptors: usize,
-    /// The ids of requests that are not over, as clients gave them.
+    /// The ids of unfinished requests, as chosen by the clients.
     pub ids: Vec<u64>,
-    /// Attempts and connections.
+    /// Attempts and connections by server.
     pub holdings: Vec<Holding>,
 }
 
-/// What goes over the link once the snapshot has been read.
+/// Messages on the link after the snapshot.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Word {
-    /// The successor takes clients.
-    Taking,
-    /// What the predecessor holds now.
-    Holds(Holds),
-    /// The predecessor passes this connection on, with the client's socket and the form host's.
+pub enum Message {
+    /// The successor accepts clients.
+    #[serde(rename = "Taking")]
+    AcceptingClients,
+    /// The resources that the predecessor retains now.
+    #[serde(rename = "Holds")]
+    Retained(Retained),
+    /// The predecessor passes on this connection, together with the sockets to the client and the server.
     Connection(Connection),
-    /// Operators have taken a form host out, or put it back.
+    /// Operators have put a server into maintenance or back into service.
     Maintenance {
-        /// Which.
+        /// The server.
         server: ServerId,
-        /// Out if true.
+        /// True if the maintenance begins, false if it ends.
         begins: bool,
     },
 }
 
-/// A connection that stands and of which nothing is under way.
+/// An established connection with no data in transit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Connection {
-    /// Its id, as the client gave it.
+    /// The connection's id, as chosen by the client.
     pub id: u64,
-    /// Its class, by name.
+    /// The name of its class.
     pub class: String,
-    /// Its tenant, by name, and its group.
+    /// The name of its tenant.
     pub tenant: Option<String>,
-    /// 0 if none.
+    /// The client's group; 0 if none.
     pub group: u64,
-    /// The form host that holds it.
+    /// The server of the connection.
     pub server: ServerId,
-    /// Its load, as last told.
+    /// Its load, as last reported.
     pub load: f64,
-    /// Its session, if it has one.
+    /// Its session, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub session: Option<marllink_sessions::Passed>,
 }
 
-/// A value as it is written, its line end included.
-pub fn written(value: &impl Serialize) -> Vec<u8> {
-    // None of the types here can fail to be written.
+/// Encodes a value as a line, including the line end.
+pub fn encode(value: &impl Serialize) -> Vec<u8> {
+    // Serialization can't fail for the types in this module.
     let mut line = serde_json::to_vec(value).unwrap_or_default();
     line.push(b'\n');
     line
 }
 
-/// Reads a line; `None` if it is not of this version's syntax.
-pub fn read<T: for<'a> Deserialize<'a>>(line: &[u8]) -> Option<T> {
+/// Decodes a line. Returns `None` if it does not follow this version's format.
+pub fn decode<T: for<'a> Deserialize<'a>>(line: &[u8]) -> Option<T> {
     serde_json::from_slice(line).ok()
 }
 
-/// Reads a snapshot.
+/// Decodes a snapshot.
 ///
 /// # Errors
-/// Tells what it is instead: of another version, or where it is not of this one's syntax.
-pub fn snapshot(line: &[u8]) -> Result<Snapshot, String> {
-    let Hello { version } = serde_json::from_slice(line).map_err(|e| format!("no snapshot: {e}"))?;
+/// Describes the mismatch: another version, or the position of a syntax error.
+pub fn decode_snapshot(line: &[u8]) -> Result<Snapshot, String> {
+    let Hello { version } = serde_json::from_slice(line).map_err(|e| format!("not a snapshot: {e}"))?;
     if version != VERSION {
-        return Err(format!("a snapshot of version {version}, not {VERSION}"));
+        return Err(format!("snapshot version {version} instead of {VERSION}"));
     }
-    serde_json::from_slice(line).map_err(|e| format!("a snapshot that can't be read: {e}"))
+    serde_json::from_slice(line).map_err(|e| format!("malformed snapshot: {e}"))
 }
 
 #[cfg(test)]
@@ -123,35 +126,35 @@
     use super::*;
 
     #[test]
-    fn what_is_written_is_read_again_and_nothing_else_is_a_snapshot() {
+    fn a_snapshot_survives_a_round_trip_and_malformed_ones_are_rejected() {
         let mut knowledge = Knowledge { out: vec![ServerId(u64::MAX)], ..Knowledge::default() };
         knowledge.servers.push((ServerId(1), marllink::Track::default()));
         let list = List { rev: 4, all: true, targets: Vec::new() };
         let address = SocketAddr::from(([127, 0, 0, 1], 8000));
-        let mut told = Snapshot {
+        let mut sent = Snapshot {
             version: VERSION,
             config: "{\n}".into(),
             discovery: address,
             list,
             addresses: vec![(ServerId(1), address)],
             knowledge: Some(knowledge),
-            holds: Holds { descriptors: 3, ids: vec![u64::MAX], holdings: Vec::new() },
+            retained: Retained { descriptors: 3, ids: vec![u64::MAX], holdings: Vec::new() },
         };
-        let line = written(&told);
+        let line = encode(&sent);
         assert_eq!(line.iter().filter(|b| **b == b'\n').count(), 1);
-        assert_eq!(snapshot(&line).as_ref(), Ok(&told));
+        assert_eq!(decode_snapshot(&line).as_ref(), Ok(&sent));
         for end in 0..line.len() - 1 {
-            assert!(snapshot(&line[..end]).is_err());
+            assert!(decode_snapshot(&line[..end]).is_err());
         }
-        // A figure that is not finite costs what is known and nothing else.
-        let servers = &mut told.knowledge.as_mut().expect("it is known").servers;
+        // A number that is not finite only costs the decision logic's state.
+        let servers = &mut sent.knowledge.as_mut().expect("the knowledge is present").servers;
         servers[0].1.failed_at = f64::INFINITY;
-        let rest = snapshot(&written(&told)).expect("the rest is sound");
+        let rest = decode_snapshot(&encode(&sent)).expect("the rest is valid");
         assert_eq!(rest.knowledge, None);
-        assert_eq!((rest.addresses, rest.holds), (told.addresses.clone(), told.holds.clone()));
-        told.version += 1;
-        let other = snapshot(&written(&told));
-        assert_eq!(other, Err(format!("a snapshot of version {}, not {VERSION}", VERSION + 1)));
-        assert_eq!(read(&written(&Word::Taking)), Some(Word::Taking));
+        assert_eq!((rest.addresses, rest.retained), (sent.addresses.clone(), sent.retained.clone()));
+        sent.version += 1;
+        let other = decode_snapshot(&encode(&sent));
+        assert_eq!(other, Err(format!("snapshot version {} instead of {VERSION}", VERSION + 1)));
+        assert_eq!(decode(&encode(&Message::AcceptingClients)), Some(Message::AcceptingClients));
     }
 }
--- a/node/src/protocol/http.rs
+++ b/node/src/protocol/http.rs
@@ -1,5 +1,5 @@
-//! As much of HTTP/1.1 as is needed: the head of discovery's answers and their body in chunks, and the
-//! head of an operator's call.
+//! The required subset of HTTP/1.1: heads of discovery responses, their bodies in chunks, and heads of
+//! requests to the admin interface.
 
 use winnow::ascii::{dec_uint, hex_uint};
 use winnow::combinator::{delimited, preceded, repeat, terminated};
@@ -8,114 +8,114 @@
 use winnow::stream::{Offset, Partial, Stream};
 use winnow::token::{literal, take, take_till, take_while};
 
-/// Neither a head nor the line before a chunk comes near this; a longer one is refused.
-pub const LONGEST_HEAD: usize = 16 * 1024;
-/// No chunk comes near this; a longer one is refused.
-pub const LONGEST_CHUNK: usize = 16 * 1024 * 1024;
+/// Maximum size of a head and of the size line of a chunk. Anything longer is rejected.
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Maximum size of a chunk. A larger one is rejected.
+pub const MAX_CHUNK_BYTES: usize = 16 * 1024 * 1024;
 
 type Bytes<'a> = Partial<&'a [u8]>;
 
-/// The head of an answer.
+/// The head of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Head {
-    /// As in the status line.
+pub struct ResponseHead {
+    /// The status code.
     pub status: u16,
-    /// The length of the body, if it was told.
+    /// The length of the body, if given.
     pub length: Option<usize>,
-    /// The body comes in chunks.
+    /// The body is sent in chunks.
     pub chunked: bool,
 }
 
-/// What reading from the front of a buffer came to.
+/// The result of parsing the front of a buffer.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Read<T> {
-    /// A value, and how many bytes it took.
-    Whole(T, usize),
+pub enum Parsed<T> {
+    /// A value and its length in bytes.
+    Complete(T, usize),
     /// More bytes are needed.
     Partial,
-    /// This is not HTTP as its peers speak it.
+    /// Not valid HTTP, or outside the supported subset.
     Malformed,
 }
 
-/// Reads the head of an answer.
-pub fn head(buffer: &[u8]) -> Read<Head> {
-    read(buffer, answer_head, LONGEST_HEAD)
+/// Parses the head of a response.
+pub fn parse_response_head(buffer: &[u8]) -> Parsed<ResponseHead> {
+    parse(buffer, response_head, MAX_HEAD_BYTES)
 }
 
-/// The head of a call.
+/// The head of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Call {
-    /// In capitals, as it came.
+pub struct RequestHead {
+    /// The method, in capitals.
     pub method: String,
-    /// What is called.
+    /// The request target.
     pub target: String,
 }
 
-/// Reads the head of a call. Nothing that can be called takes a body.
-pub fn call(buffer: &[u8]) -> Read<Call> {
-    read(buffer, call_head, LONGEST_HEAD)
+/// Parses the head of a request. No supported request has a body.
+pub fn parse_request_head(buffer: &[u8]) -> Parsed<RequestHead> {
+    parse(buffer, request_head, MAX_HEAD_BYTES)
 }
 
-/// Reads a chunk; an empty one is the last.
-pub fn chunk(buffer: &[u8]) -> Read<&[u8]> {
-    read(buffer, one_chunk, LONGEST_CHUNK + LONGEST_HEAD)
+/// Parses a chunk; an empty one is the last.
+pub fn parse_chunk(buffer: &[u8]) -> Parsed<&[u8]> {
+    parse(buffer, chunk, MAX_CHUNK_BYTES + MAX_HEAD_BYTES)
 }
 
-fn read<'a, T>(
+fn parse<'a, T>(
     buffer: &'a [u8],
     mut parser: impl FnMut(&mut Bytes<'a>) -> ModalResult<T>,
-    longest: usize,
-) -> Read<T> {
+    max_bytes: usize,
+) -> Parsed<T> {
     let mut input = Partial::new(buffer);
     let start = input.checkpoint();
     match parser(&mut input) {
-        Ok(value) => Read::Whole(value, input.offset_from(&start)),
-        Err(ErrMode::Incomplete(_)) if buffer.len() < longest => Read::Partial,
-        Err(_) => Read::Malformed,
+        Ok(value) => Parsed::Complete(value, input.offset_from(&start)),
+        Err(ErrMode::Incomplete(_)) if buffer.len() < max_bytes => Parsed::Partial,
+        Err(_) => Parsed::Malformed,
     }
 }
 
-fn call_head(input: &mut Bytes<'_>) -> ModalResult<Call> {
+fn request_head(input: &mut Bytes<'_>) -> ModalResult<RequestHead> {
     let method = terminated(take_while(1.., |b: u8| b.is_ascii_uppercase()), b' ');
     let method = method.try_map(std::str::from_utf8).parse_next(input)?.to_owned();
     let target = terminated(take_while(1.., |b: u8| b.is_ascii_graphic()), b' ');
     let target = target.try_map(std::str::from_utf8).parse_next(input)?.to_owned();
     (literal("HTTP/1."), take_while(1..=1, |b: u8| b.is_ascii_digit())).void().parse_next(input)?;
     literal("\r\n").void().parse_next(input)?;
-    repeat(0.., field.void()).map(|()| ()).parse_next(input)?;
+    repeat(0.., header.void()).map(|()| ()).parse_next(input)?;
     literal("\r\n").void().parse_next(input)?;
-    Ok(Call { method, target })
+    Ok(RequestHead { method, target })
 }
 
-fn answer_head(input: &mut Bytes<'_>) -> ModalResult<Head> {
+fn response_head(input: &mut Bytes<'_>) -> ModalResult<ResponseHead> {
     let version = (literal("HTTP/1."), take(1usize), b' ');
     let status = preceded(version, dec_uint::<_, u16, _>).parse_next(input)?;
     (take_till(0.., b'\r'), literal("\r\n")).void().parse_next(input)?;
-    let fields: Vec<(&[u8], &[u8])> = repeat(0.., field).parse_next(input)?;
+    let headers: Vec<(&[u8], &[u8])> = repeat(0.., header).parse_next(input)?;
     literal("\r\n").void().parse_next(input)?;
-    let value = |wanted: &str| {
-        let named = |name: &[u8]| name.eq_ignore_ascii_case(wanted.as_bytes());
-        fields.iter().find(|(name, _)| named(name)).map(|(_, value)| value.trim_ascii())
+    let value = |header_name: &str| {
+        let matches = |name: &[u8]| name.eq_ignore_ascii_case(header_name.as_bytes());
+        headers.iter().find(|(name, _)| matches(name)).map(|(_, value)| value.trim_ascii())
     };
     let length = value("content-length").map(|v| std::str::from_utf8(v).ok().and_then(|v| v.parse().ok()));
-    // A length that cannot be read leaves no way to tell where the body ends.
+    // Without a valid length, the end of the body can't be determined.
     if length == Some(None) {
         return Err(ErrMode::Cut(winnow::error::ContextError::new()));
     }
     let chunked = value("transfer-encoding").is_some_and(|v| v.eq_ignore_ascii_case(b"chunked"));
-    Ok(Head { status, length: length.flatten(), chunked })
+    Ok(ResponseHead { status, length: length.flatten(), chunked })
 }
 
-fn field<'a>(input: &mut Bytes<'a>) -> ModalResult<(&'a [u8], &'a [u8])> {
+fn header<'a>(input: &mut Bytes<'a>) -> ModalResult<(&'a [u8], &'a [u8])> {
     let name = take_while(1.., |b: u8| b.is_ascii_graphic() && b != b':');
     let name = terminated(name, b':').parse_next(input)?;
     let value = terminated(take_till(0.., b'\r'), literal("\r\n")).parse_next(input)?;
     Ok((name, value))
 }
 
-fn one_chunk<'a>(input: &mut Bytes<'a>) -> ModalResult<&'a [u8]> {
-    let size = hex_uint::<_, u32, _>.verify(|n| *n as usize <= LONGEST_CHUNK).parse_next(input)?;
-    // An extension after the size may be skipped.
+fn chunk<'a>(input: &mut Bytes<'a>) -> ModalResult<&'a [u8]> {
+    let size = hex_uint::<_, u32, _>.verify(|n| *n as usize <= MAX_CHUNK_BYTES).parse_next(input)?;
+    // Skips a chunk extension after the size.
     (take_till(0.., b'\r'), literal("\r\n")).void().parse_next(input)?;
     delimited(winnow::combinator::empty, take(size), literal("\r\n")).parse_next(input)
 }
@@ -127,49 +127,55 @@
     const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nServer: x\r\nTransfer-Encoding: chunked\r\n\r\n";
 
     #[test]
-    fn a_head_is_read_once_it_is_whole() {
+    fn a_response_head_is_parsed_once_complete() {
         for end in 0..HEAD.len() {
-            assert_eq!(head(&HEAD[..end]), Read::Partial, "the first {end} bytes");
+            assert_eq!(parse_response_head(&HEAD[..end]), Parsed::Partial, "the first {end} bytes");
         }
-        let whole = Head { status: 200, length: None, chunked: true };
-        assert_eq!(head(&[HEAD, b"5\r\n"].concat()), Read::Whole(whole, HEAD.len()));
+        let complete = ResponseHead { status: 200, length: None, chunked: true };
+        assert_eq!(parse_response_head(&[HEAD, b"5\r\n"].concat()), Parsed::Complete(complete, HEAD.len()));
         let plain = b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 12\r\n\r\n";
-        let whole = Head { status: 503, length: Some(12), chunked: false };
-        assert_eq!(head(plain), Read::Whole(whole, plain.len()));
+        let complete = ResponseHead { status: 503, length: Some(12), chunked: false };
+        assert_eq!(parse_response_head(plain), Parsed::Complete(complete, plain.len()));
     }
 
     #[test]
-    fn a_call_is_read_once_it_is_whole() {
+    fn a_request_head_is_parsed_once_complete() {
         let text = b"POST /form-hosts/s-1/maint HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n";
         for end in 0..text.len() {
-            assert_eq!(call(&text[..end]), Read::Partial, "the first {end} bytes");
+            assert_eq!(parse_request_head(&text[..end]), Parsed::Partial, "the first {end} bytes");
         }
-        let whole = Call { method: "POST".into(), target: "/form-hosts/s-1/maint".into() };
-        assert_eq!(call(text), Read::Whole(whole, text.len()));
+        let complete = RequestHead { method: "POST".into(), target: "/form-hosts/s-1/maint".into() };
+        assert_eq!(parse_request_head(text), Parsed::Complete(complete, text.len()));
         for bad in [&b"get / HTTP/1.1\r\n\r\n"[..], b"GET  HTTP/1.1\r\n\r\n", b"GET / SPDY\r\n", b"\r\n"] {
-            assert_eq!(call(bad), Read::Malformed, "{:?}", String::from_utf8_lossy(bad));
+            assert_eq!(parse_request_head(bad), Parsed::Malformed, "{:?}", String::from_utf8_lossy(bad));
         }
     }
 
     #[test]
-    fn a_chunk_is_read_once_it_is_whole() {
-        let whole = b"1a;x=y\r\nabcdefghijklmnopqrstuvwxyz\r\n";
-        for end in 0..whole.len() {
-            assert_eq!(chunk(&whole[..end]), Read::Partial, "the first {end} bytes");
+    fn a_chunk_is_parsed_once_complete() {
+        let complete = b"1a;x=y\r\nabcdefghijklmnopqrstuvwxyz\r\n";
+        for end in 0..complete.len() {
+            assert_eq!(parse_chunk(&complete[..end]), Parsed::Partial, "the first {end} bytes");
         }
-        assert_eq!(chunk(whole), Read::Whole(&b"abcdefghijklmnopqrstuvwxyz"[..], whole.len()));
-        assert_eq!(chunk(b"0\r\n\r\n"), Read::Whole(&b""[..], 5));
+        assert_eq!(
+            parse_chunk(complete),
+            Parsed::Complete(&b"abcdefghijklmnopqrstuvwxyz"[..], complete.len())
+        );
+        assert_eq!(parse_chunk(b"0\r\n\r\n"), Parsed::Complete(&b""[..], 5));
     }
 
     #[test]
-    fn garbage_and_what_is_overlong_is_malformed() {
+    fn garbage_and_overlong_input_is_malformed() {
         for bad in [&b"SSH-2.0"[..], b"HTTP/1.1 abc\r\n", b"HTTP/1.1 200 OK\r\nno colon\r\n\r\n"] {
-            assert_eq!(head(bad), Read::Malformed, "{:?}", String::from_utf8_lossy(bad));
+            assert_eq!(parse_response_head(bad), Parsed::Malformed, "{:?}", String::from_utf8_lossy(bad));
         }
-        assert_eq!(head(b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n"), Read::Malformed);
-        assert_eq!(head(&[b"HTTP/1.1 200 ".as_slice(), &[b'x'; LONGEST_HEAD]].concat()), Read::Malformed);
+        assert_eq!(parse_response_head(b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n"), Parsed::Malformed);
+        assert_eq!(
+            parse_response_head(&[b"HTTP/1.1 200 ".as_slice(), &[b'x'; MAX_HEAD_BYTES]].concat()),
+            Parsed::Malformed
+        );
         for bad in [&b"zz\r\n"[..], b"ffffffff\r\n", b"3\r\nabcd\r\n"] {
-            assert_eq!(chunk(bad), Read::Malformed, "{:?}", String::from_utf8_lossy(bad));
+            assert_eq!(parse_chunk(bad), Parsed::Malformed, "{:?}", String::from_utf8_lossy(bad));
         }
     }
 }
--- a/node/src/protocol/line.rs
+++ b/node/src/protocol/line.rs
@@ -1,4 +1,4 @@
-//! Lines between clients, balancers and form hosts: text that CRLF ends.
+//! Lines between clients, balancers and servers: text terminated by CRLF.
 
 use super::report::{self, Report};
 use std::ops::Range;
@@ -9,128 +9,129 @@
 use winnow::stream::LocatingSlice;
 use winnow::token::{literal, take_till, take_while};
 
-/// The longest line in bytes, its end included.
-pub const LONGEST: usize = 4 * 1024;
+/// Maximum length of a line in bytes, including the line end.
+pub const MAX_LINE_BYTES: usize = 4 * 1024;
 
-/// No token is shorter, and no figure as long.
-const SHORTEST_TOKEN: usize = 60;
+/// No token is shorter, and no number is as long.
+const MIN_TOKEN_BYTES: usize = 60;
 
 type Text<'a> = LocatingSlice<&'a [u8]>;
 
-/// A line that asks for a connection.
+/// A client's request for a connection.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Opening {
-    /// The line as it came, its end included.
+pub struct OpenRequest {
+    /// The line as received, including the line end.
     line: Vec<u8>,
-    /// Where the value of `d` stands in it.
-    wait_at: Range<usize>,
-    /// Its id.
+    /// Position of the value of `d` in the line.
+    wait_span: Range<usize>,
+    /// The request id.
     pub id: u64,
-    /// The class, by name.
+    /// The name of the class.
     pub class: String,
-    /// The tenant, by name.
+    /// The name of the tenant.
     pub tenant: Option<String>,
     /// How long the client waits, in milliseconds.
     pub wait_ms: f64,
-    /// A client's retry.
-    pub retry: bool,
-    /// The client, or the group that it belongs to; 0 if none is told.
+    /// The request is a client's retry.
+    pub is_retry: bool,
+    /// The client, or the group that it belongs to; 0 if not given.
     pub group: u64,
-    /// The form host at which the connection was open before.
-    pub at: Option<String>,
-    /// A session: `new`, or a token to go on by, and where that stands in the line.
+    /// The server to which the connection was open before.
+    pub previous_server: Option<String>,
+    /// A session: `new`, or a token to resume one, and its position in the line.
     pub session: Option<(String, Range<usize>)>,
 }
 
-impl Opening {
-    /// What is left of one whose connection stands: it is never sent again.
-    pub fn standing(id: u64, class: String, tenant: Option<String>, group: u64) -> Self {
+impl OpenRequest {
+    /// Creates the reduced form for an established connection, whose line is never sent again.
+    pub fn established(id: u64, class: String, tenant: Option<String>, group: u64) -> Self {
         Self { id, class, tenant, group, ..Self::default() }
     }
 
-    /// The line for a form host: unchanged, but that it tells how long the balancer will wait.
+    /// Returns the line for a server: unchanged except for the time that the balancer will wait.
     ///
-    /// `held_as` tells how the form host is to hold the session, if one is asked for; a token is for
-    /// balancers alone.
-    pub fn for_host(&self, wait_ms: f64, held_as: Option<&str>) -> Vec<u8> {
-        // Rounded down: the host must not be told of time that is not there.
+    /// If a session is requested, `session_value` replaces its value and says how the server is to hold the
+    /// session; tokens are only for balancers.
+    pub fn for_server(&self, wait_ms: f64, session_value: Option<&str>) -> Vec<u8> {
+        // Rounded down, so that the server is not promised more time than there is.
         let wait = (wait_ms.max(1.0) as u64).to_string();
-        let mut parts = vec![(&self.wait_at, wait.as_str())];
-        if let (Some((_, at)), Some(held_as)) = (&self.session, held_as) {
-            parts.push((at, held_as));
+        let mut substitutions = vec![(&self.wait_span, wait.as_str())];
+        if let (Some((_, span)), Some(session_value)) = (&self.session, session_value) {
+            substitutions.push((span, session_value));
         }
-        parts.sort_by_key(|(at, _)| at.start);
-        let (mut line, mut from) = (Vec::with_capacity(self.line.len()), 0);
-        for (at, text) in parts {
-            line.extend_from_slice(&self.line[from..at.start]);
+        substitutions.sort_by_key(|(span, _)| span.start);
+        let (mut line, mut copied_to) = (Vec::with_capacity(self.line.len()), 0);
+        for (span, text) in substitutions {
+            line.extend_from_slice(&self.line[copied_to..span.start]);
             line.extend_from_slice(text.as_bytes());
-            from = at.end;
+            copied_to = span.end;
         }
-        line.extend_from_slice(&self.line[from..]);
+        line.extend_from_slice(&self.line[copied_to..]);
         line
     }
 }
 
-/// What a client's connection begins with.
+/// The first line of a client's connection.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Hello {
-    /// It asks whether the balancer serves.
+pub enum FirstLine {
+    /// A check whether the balancer serves.
     Ping,
-    /// It asks for a connection.
-    Open(Box<Opening>),
+    /// A request for a connection.
+    Open(Box<OpenRequest>),
 }
 
-/// A line from a form host.
+/// A line from a server.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Reply {
-    /// The connection stands.
+pub enum ServerLine {
+    /// The connection is established.
     Up,
-    /// It was served to its end.
+    /// The request was served to its end.
     Bye(Report),
     /// An error.
     Err(Report),
-    /// Turned away unseen.
+    /// Rejected without processing.
     Busy(Report),
-    /// The client is sent away.
+    /// The client is to reconnect elsewhere.
     Move,
-    /// The connection's load is now this.
+    /// The new load of the connection.
     Load(f64),
-    /// A probe's answer.
+    /// The answer to a probe.
     Pong(Report),
     /// Anything else.
     Other,
 }
 
-/// Reads a client's first line, its end included. `None` if it is not of the protocol.
-pub fn hello(line: &[u8]) -> Option<Hello> {
+/// Parses a client's first line, including the line end. Returns `None` if it does not follow the protocol.
+pub fn parse_first_line(line: &[u8]) -> Option<FirstLine> {
     let text = LocatingSlice::new(line);
     let ping = literal("PING\r\n").value(None);
-    let opening = alt((ping, opening.map(Some))).parse(text).ok()?;
-    Some(match opening {
-        None => Hello::Ping,
-        Some(mut opening) => {
-            opening.line = line.to_vec();
-            Hello::Open(Box::new(opening))
+    let request = alt((ping, open_request.map(Some))).parse(text).ok()?;
+    Some(match request {
+        None => FirstLine::Ping,
+        Some(mut request) => {
+            request.line = line.to_vec();
+            FirstLine::Open(Box::new(request))
         }
     })
 }
 
-/// Reads a line of a form host, its end included.
-pub fn reply(line: &[u8]) -> Reply {
-    let mut any = alt((
-        delimited(literal("UP "), take_till(1.., is_end), line_end).value(Reply::Up),
-        delimited(literal("BYE"), tail, line_end).map(Reply::Bye),
-        delimited(literal("ERR"), tail, line_end).map(Reply::Err),
-        delimited(literal("BUSY"), tail, line_end).map(Reply::Busy),
-        delimited(literal("PONG"), tail, line_end).map(Reply::Pong),
-        terminated(literal("MOVE"), line_end).value(Reply::Move),
-        delimited(literal("LOAD "), float::<_, f64, _>.verify(|x| x.is_finite()), line_end).map(Reply::Load),
+/// Parses a line from a server, including the line end.
+pub fn parse_server_line(line: &[u8]) -> ServerLine {
+    let mut line_parser = alt((
+        delimited(literal("UP "), take_till(1.., is_end), line_end).value(ServerLine::Up),
+        delimited(literal("BYE"), optional_report, line_end).map(ServerLine::Bye),
+        delimited(literal("ERR"), optional_report, line_end).map(ServerLine::Err),
+        delimited(literal("BUSY"), optional_report, line_end).map(ServerLine::Busy),
+        delimited(literal("PONG"), optional_report, line_end).map(ServerLine::Pong),
+        terminated(literal("MOVE"), line_end).value(ServerLine::Move),
+        delimited(literal("LOAD "), float::<_, f64, _>.verify(|x| x.is_finite()), line_end)
+            .map(ServerLine::Load),
     ));
-    any.parse(LocatingSlice::new(line)).unwrap_or(Reply::Other)
+    line_parser.parse(LocatingSlice::new(line)).unwrap_or(ServerLine::Other)
 }
 
-/// The answer to a client that is refused, with advice when to come again; 0 for none.
-pub fn busy(retry_after_ms: f64) -> String {
+/// Returns the answer to a rejected client, with a retry delay unless that is 0.
+pub fn busy_line(retry_after_ms: f64) -> String {
     if retry_after_ms > 0.0 {
         format!("BUSY {}\r\n", retry_after_ms.ceil().min(9e15) as u64)
     } else {
@@ -138,8 +139,8 @@
     }
 }
 
-/// A form host's name as a number that is the same at every balancer: FNV-1a, 64 bits.
-pub fn number_of(name: &str) -> u64 {
+/// Hashes a server's name to a number that is the same at every balancer: 64-bit FNV-1a.
+pub fn hash_server_name(name: &str) -> u64 {
     name.bytes()
         .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3))
 }
@@ -152,13 +153,13 @@
     (opt(b'\r'), b'\n').void().parse_next(input)
 }
 
-fn tail(input: &mut Text<'_>) -> ModalResult<Report> {
+fn optional_report(input: &mut Text<'_>) -> ModalResult<Report> {
     let text = opt(preceded(b' ', take_till(0.., is_end))).parse_next(input)?;
-    // Words that are no report say nothing of the load, and the answer holds all the same.
+    // Text that is not a report carries no load values; the line itself is still valid.
     Ok(text.and_then(report::parse).unwrap_or_default())
 }
 
-/// An id, a key or a group: up to 64 bits, whether their letters are large or small.
+/// Parses an id, a key or a group: up to 64 bits, as hexadecimal digits in either case.
 fn hex(input: &mut Text<'_>) -> ModalResult<u64> {
     let digits = take_while(1..=16, |b: u8| b.is_ascii_hexdigit()).try_map(std::str::from_utf8);
     digits.try_map(|text| u64::from_str_radix(text, 16)).parse_next(input)
@@ -172,9 +173,9 @@
     Ok((name, value))
 }
 
-/// Every field is read here, also those that only form hosts use: one that they could not read
-/// would be their answer to a request that was never sound, and count against them.
-fn opening(input: &mut Text<'_>) -> ModalResult<Opening> {
+/// Parses and validates every field, including those that only servers use: a field that servers can't parse
+/// would make them answer a malformed request with an error, which would count against them.
+fn open_request(input: &mut Text<'_>) -> ModalResult<OpenRequest> {
     let id = preceded(literal("OPEN "), hex).parse_next(input)?;
     preceded(b' ', hex).void().parse_next(input)?;
     let pairs: Vec<_> = preceded(b' ', separated(1.., pair, b',')).parse_next(input)?;
@@ -182,8 +183,8 @@
     fields(id, &pairs).ok_or(ErrMode::Cut(ContextError::new()))
 }
 
-fn fields(id: u64, pairs: &[(&str, (&str, Range<usize>))]) -> Option<Opening> {
-    let mut opening = Opening { id, ..Opening::default() };
+fn fields(id: u64, pairs: &[(&str, (&str, Range<usize>))]) -> Option<OpenRequest> {
+    let mut request = OpenRequest { id, ..OpenRequest::default() };
     let (mut class, mut wait) = (None, None);
     for (at, (name, (text, span))) in pairs.iter().enumerate() {
         if pairs[..at].iter().any(|(before, _)| before == name) {
@@ -191,25 +192,25 @@
         }
         match *name {
             "c" => class = Some((*text).to_owned()),
-            "d" => wait = Some((whole(text)?, span.clone())),
-            "g" => opening.group = hex.parse(LocatingSlice::new(text.as_bytes())).ok()?,
-            "t" => opening.tenant = Some((*text).to_owned()),
-            "at" => opening.at = Some((*text).to_owned()),
-            "s" if *text == "new" || text.len() >= SHORTEST_TOKEN => {
-                opening.session = Some(((*text).to_owned(), span.clone()));
+            "d" => wait = Some((wait_ms(text)?, span.clone())),
+            "g" => request.group = hex.parse(LocatingSlice::new(text.as_bytes())).ok()?,
+            "t" => request.tenant = Some((*text).to_owned()),
+            "at" => request.previous_server = Some((*text).to_owned()),
+            "s" if *text == "new" || text.len() >= MIN_TOKEN_BYTES => {
+                request.session = Some(((*text).to_owned(), span.clone()));
             }
-            "r" => opening.retry = flag(text)?,
+            "r" => request.is_retry = flag(text)?,
             "again" => _ = flag(text)?,
-            // A figure that only the form host uses.
+            // A number that only servers use.
             _ => _ = float::<_, f64, ContextError>.parse(text.as_bytes()).ok().filter(|x| x.is_finite())?,
         }
     }
-    opening.class = class?;
-    (opening.wait_ms, opening.wait_at) = wait?;
-    Some(opening)
+    request.class = class?;
+    (request.wait_ms, request.wait_span) = wait?;
+    Some(request)
 }
 
-fn whole(text: &str) -> Option<f64> {
+fn wait_ms(text: &str) -> Option<f64> {
     dec_uint::<_, u32, ContextError>.parse(text.as_bytes()).ok().map(f64::from)
 }
 
@@ -228,30 +229,30 @@
     const LINE: &[u8] =
         b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=2000,g=5c0f6e1a2b3d4c59,r=1,x=0.5\r\n";
 
-    fn open(line: &[u8]) -> Option<Opening> {
-        match hello(line)? {
-            Hello::Open(opening) => Some(*opening),
-            Hello::Ping => None,
+    fn open(line: &[u8]) -> Option<OpenRequest> {
+        match parse_first_line(line)? {
+            FirstLine::Open(request) => Some(*request),
+            FirstLine::Ping => None,
         }
     }
 
     #[test]
-    fn an_opening_is_read_and_goes_on_with_only_its_wait_changed() {
-        let opening = open(LINE).expect("it is well formed");
-        assert_eq!((opening.id, opening.class.as_str()), (0x9b1f_03aa_5c7e_2d41, "chat"));
-        assert_eq!((opening.wait_ms, opening.retry, &opening.at), (2000.0, true, &None));
-        assert_eq!(opening.group, 0x5c0f_6e1a_2b3d_4c59);
-        let line = String::from_utf8(opening.for_host(981.7, None)).expect("it is text");
+    fn an_open_request_is_forwarded_with_only_its_wait_time_changed() {
+        let request = open(LINE).expect("the request is well formed");
+        assert_eq!((request.id, request.class.as_str()), (0x9b1f_03aa_5c7e_2d41, "chat"));
+        assert_eq!((request.wait_ms, request.is_retry, &request.previous_server), (2000.0, true, &None));
+        assert_eq!(request.group, 0x5c0f_6e1a_2b3d_4c59);
+        let line = String::from_utf8(request.for_server(981.7, None)).expect("the line is UTF-8");
         assert_eq!(line, String::from_utf8_lossy(LINE).replace("d=2000", "d=981"));
     }
 
     #[test]
-    fn what_is_split_overlong_or_garbage_is_no_hello() {
+    fn partial_or_malformed_first_lines_are_rejected() {
         for end in 0..LINE.len() {
-            assert_eq!(hello(&LINE[..end]), None, "the first {end} bytes");
+            assert_eq!(parse_first_line(&LINE[..end]), None, "the first {end} bytes");
         }
         let long = [b"OPEN a b d=1,c=".as_slice(), &vec![b'x'; 100_000], b"\r\n"].concat();
-        assert!(open(&long).is_some(), "the reader bounds lines, not the parser");
+        assert!(open(&long).is_some(), "the reader limits the line length, not the parser");
         for line in [
             &b"\r\n"[..],
             b"OPEN\r\n",
@@ -279,13 +280,13 @@
             b"\xff\xfe\x00\r\n",
             b"GET / HTTP/1.1\r\n",
         ] {
-            assert_eq!(hello(line), None, "{:?}", String::from_utf8_lossy(line));
+            assert_eq!(parse_first_line(line), None, "{:?}", String::from_utf8_lossy(line));
         }
-        assert_eq!(hello(b"PING\r\n"), Some(Hello::Ping));
+        assert_eq!(parse_first_line(b"PING\r\n"), Some(FirstLine::Ping));
     }
 
     #[test]
-    fn the_lines_of_a_form_host_are_told_apart() {
+    fn server_lines_are_told_apart() {
         let lines = [
             "UP 5f",
             "UP",
@@ -302,14 +303,16 @@
             "PONG x0=0.4,inflight=3",
             "hello",
         ];
-        let read: Vec<_> =
-            lines.iter().map(|l| format!("{l}: {:?}", reply(format!("{l}\r\n").as_bytes()))).collect();
-        insta::assert_snapshot!(read.join("\n"));
+        let parsed: Vec<_> = lines
+            .iter()
+            .map(|l| format!("{l}: {:?}", parse_server_line(format!("{l}\r\n").as_bytes())))
+            .collect();
+        insta::assert_snapshot!(parsed.join("\n"));
     }
 
     #[test]
-    fn a_refusal_says_when_to_come_again() {
-        assert_eq!(busy(0.0), "BUSY\r\n");
-        assert_eq!(busy(249.2), "BUSY 250\r\n");
+    fn a_rejection_carries_the_retry_delay() {
+        assert_eq!(busy_line(0.0), "BUSY\r\n");
+        assert_eq!(busy_line(249.2), "BUSY 250\r\n");
     }
 }
--- a/node/src/protocol/mod.rs
+++ b/node/src/protocol/mod.rs
@@ -1,4 +1,4 @@
-//! What goes over the sockets, as pure functions from bytes to values and back.
+//! Wire formats, as pure functions that convert between bytes and values.
 
 pub mod admin;
 pub mod discovery;
--- a/node/src/protocol/report.rs
+++ b/node/src/protocol/report.rs
@@ -5,10 +5,10 @@
 use winnow::prelude::*;
 use winnow::token::take_while;
 
-/// Names and values in the order they came; empty if there was no report.
+/// Names and values in the order of the report; empty if there was no report.
 pub type Report = Vec<(String, f32)>;
 
-/// Names by which the settings call what form hosts call otherwise.
+/// Names used in the settings, and the names that servers use for the same values.
 const ALIASES: [(&str, &str); 6] = [
     ("rif", "inflight"),
     ("q", "queue"),
@@ -18,7 +18,7 @@
     ("fail_rate", "eps"),
 ];
 
-/// Reads a report; `None` if the text is none.
+/// Parses a report. Returns `None` if the text is not a valid report.
 pub fn parse(text: &[u8]) -> Option<Report> {
     let mut report = terminated(separated(1.., pair, b','), eof);
     report.parse(text).ok()
@@ -30,9 +30,9 @@
     separated_pair(name, b'=', float.verify(|x: &f32| x.is_finite())).parse_next(input)
 }
 
-/// The values in the order of `fields`; empty unless all are there, as a value in another's place
-/// would mislead.
-pub fn in_order(report: &Report, fields: &[String]) -> Vec<f32> {
+/// Returns the values in the order of `fields`. Returns no values unless all are present, since a value in
+/// the wrong position would be misleading.
+pub fn ordered_values(report: &Report, fields: &[String]) -> Vec<f32> {
     let value = |field: &String| {
         let alias = ALIASES.iter().find(|(name, _)| name == field).map(|(_, alias)| *alias);
         report.iter().find(|(name, _)| name == field || Some(name.as_str()) == alias).map(|(_, value)| *value)
@@ -45,15 +45,15 @@
     use super::*;
 
     #[test]
-    fn values_come_in_the_order_of_the_settings_whatever_their_order_on_the_wire() {
-        let report = parse(b"inflight=7,queue=2,x0=0.61").expect("it is well formed");
+    fn values_are_returned_in_the_order_of_the_settings() {
+        let report = parse(b"inflight=7,queue=2,x0=0.61").expect("the report is well formed");
         let fields = |names: &[&str]| names.iter().map(|n| (*n).to_owned()).collect::<Vec<_>>();
-        assert_eq!(in_order(&report, &fields(&["x0", "rif"])), [0.61, 7.0]);
-        assert_eq!(in_order(&report, &fields(&["x0", "x1"])), [0.0f32; 0]);
+        assert_eq!(ordered_values(&report, &fields(&["x0", "rif"])), [0.61, 7.0]);
+        assert_eq!(ordered_values(&report, &fields(&["x0", "x1"])), [0.0f32; 0]);
     }
 
     #[test]
-    fn garbage_is_no_report() {
+    fn malformed_reports_are_rejected() {
         for text in [&b""[..], b"a", b"a=", b"a=x", b"a=1,", b"a=1,b", b"=1", b"a=inf", b"a=1 b=2", b"\xff=1"]
         {
             assert_eq!(parse(text), None, "{:?}", String::from_utf8_lossy(text));
--- a/node/src/protocol/session.rs
+++ b/node/src/protocol/session.rs
@@ -1,4 +1,4 @@
-//! The lines that only connections with a session have. `docs/protocol-resume.md` has the grammar.
+//! Lines that only occur on connections with a session. See `docs/protocol-resume.md` for the grammar.
 
 use marllink_sessions::keep::Field;
 use winnow::ascii::dec_uint;
@@ -6,29 +6,29 @@
 use winnow::prelude::*;
 use winnow::token::{literal, rest, take_while};
 
-/// A line of the client's that is not passed on.
+/// A line from a client that is not forwarded.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FromClient {
-    /// It saves a field.
+    /// Saves a field.
     Save(Field),
-    /// It has its token.
+    /// Confirms that the client has received its token.
     Have,
 }
 
-/// A line of the form host's that is about the session.
+/// A line from a server that concerns the session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FromHost {
-    /// It asks for a lease. This line is not passed on.
+pub enum FromServer {
+    /// Requests a lease. This line is not forwarded.
     Renew(u64),
-    /// It has applied all saves up to this one.
+    /// All saves up to this number are applied.
     Saved(u64),
-    /// It has let go, as the session went on elsewhere.
+    /// The server has released the session because it continues elsewhere.
     Taken,
 }
 
-/// Reads a client's line, its end included; `None` if it is one of those that pass unchanged.
+/// Parses a client's line, including the line end. Returns `None` for lines that are forwarded unchanged.
 pub fn from_client(line: &[u8]) -> Option<FromClient> {
-    let mut text = strip(line)?;
+    let mut text = strip_line_end(line)?;
     if text == b"HAVE" {
         return Some(FromClient::Have);
     }
@@ -45,18 +45,18 @@
     Some(FromClient::Save(Field { name: name.to_owned(), n, value: value.to_vec() }))
 }
 
-/// Reads a form host's line, its end included; `None` if it is about something else.
-pub fn from_host(line: &[u8]) -> Option<FromHost> {
-    let text = strip(line)?;
-    let number = |word: &'static str| preceded(literal(word), dec_uint::<_, u64, ()>).parse(text).ok();
+/// Parses a server's line, including the line end. Returns `None` for lines that don't concern the session.
+pub fn from_server(line: &[u8]) -> Option<FromServer> {
+    let text = strip_line_end(line)?;
+    let number = |prefix: &'static str| preceded(literal(prefix), dec_uint::<_, u64, ()>).parse(text).ok();
     if text == b"TAKEN" {
-        Some(FromHost::Taken)
+        Some(FromServer::Taken)
     } else {
-        number("RENEW ").map(FromHost::Renew).or_else(|| number("SAVED ").map(FromHost::Saved))
+        number("RENEW ").map(FromServer::Renew).or_else(|| number("SAVED ").map(FromServer::Saved))
     }
 }
 
-fn strip(line: &[u8]) -> Option<&[u8]> {
+fn strip_line_end(line: &[u8]) -> Option<&[u8]> {
     let line = line.strip_suffix(b"\n")?;
     Some(line.strip_suffix(b"\r").unwrap_or(line))
 }
@@ -66,7 +66,7 @@
     use super::*;
 
     #[test]
-    fn lines_about_the_session_are_told_from_those_that_pass() {
+    fn session_lines_are_distinguished_from_forwarded_lines() {
         let save = |n, name: &str, value: &[u8]| {
             Some(FromClient::Save(Field { name: name.into(), n, value: value.into() }))
         };
@@ -78,9 +78,9 @@
         {
             assert_eq!(from_client(line), None, "{}", line.escape_ascii());
         }
-        assert_eq!(from_host(b"RENEW 12\r\n"), Some(FromHost::Renew(12)));
-        assert_eq!(from_host(b"SAVED 3\n"), Some(FromHost::Saved(3)));
-        assert_eq!(from_host(b"TAKEN\r\n"), Some(FromHost::Taken));
+        assert_eq!(from_server(b"RENEW 12\r\n"), Some(FromServer::Renew(12)));
+        assert_eq!(from_server(b"SAVED 3\n"), Some(FromServer::Saved(3)));
+        assert_eq!(from_server(b"TAKEN\r\n"), Some(FromServer::Taken));
         for line in [
             &b"RENEW\r\n"[..],
             b"RENEW -1\r\n",
@@ -88,7 +88,7 @@
             b"UP 1\r\n",
             b"SAVED 18446744073709551616\r\n",
         ] {
-            assert_eq!(from_host(line), None, "{}", line.escape_ascii());
+            assert_eq!(from_server(line), None, "{}", line.escape_ascii());
         }
     }
 }
--- a/node/src/serve.rs
+++ b/node/src/serve.rs
@@ -5,13 +5,13 @@
 use crate::host::server;
 use crate::io::clock::{Clock, Millis};
 use crate::io::listener::Listener;
-use crate::io::{descriptors, places};
+use crate::io::{descriptors, slots};
 use crate::membership::{directory, discovery};
 use crate::operations::config::{self, Config};
 use crate::operations::features::{self, Features};
 use crate::operations::file;
-use crate::operations::handover::{self, Heritage};
-use crate::operations::{admin, maintenance, reload, shutdown, state, tuning};
+use crate::operations::handover::{self, Inherited};
+use crate::operations::{active_settings, admin, maintenance, reload, shutdown, state};
 use crate::{core, exchange};
 use std::cell::Cell;
 use std::io::Write;
@@ -76,11 +76,11 @@
 async fn start(features: Features, operators: Option<PathBuf>) -> Result<(), String> {
     // Before all else: a signal that comes unheard ends the process, and the file is read after it can be heard of.
     let signals = Signals::listen().map_err(|error| error.to_string())?;
-    let clock = Clock::of_machine();
+    let clock = Clock::system();
     let told = match variable(config::PATH_VARIABLE) {
         Some(path) => {
-            let text = file::read(&clock, Path::new(&path)).await;
-            config::load(variable, |_| text.as_ref().map(Clone::clone).map_err(config::copied))
+            let text = file::read_with_retries(&clock, Path::new(&path)).await;
+            config::load(variable, |_| text.as_ref().map(Clone::clone).map_err(config::clone_error))
         }
         None => config::load(variable, |path| std::fs::read(path)),
     };
@@ -91,7 +91,7 @@
     };
     let meeting = listen.map(handover::path);
     let heritage = match &meeting {
-        Some(path) => handover::ask(path, &clock).await,
+        Some(path) => handover::request(path, &clock).await,
         None => None,
     };
     let (config, heritage) = match heritage {
@@ -127,7 +127,7 @@
 async fn run(
     config: Config,
     clock: Clock,
-    heritage: Option<Heritage>,
+    heritage: Option<Inherited>,
     features: Features,
     operators: Option<&Path>,
     Signals { term, hangup }: Signals,
@@ -135,7 +135,7 @@
     let core = core::Core::new(clock.clone(), config.settings.decisions.clone(), config.seed);
     let directory = Rc::new(directory::Directory::default());
     let descriptors = descriptors::Descriptors::new(config.sockets);
-    let tuning = tuning::Tuning::new(config.settings.clone());
+    let tuning = active_settings::ActiveSettings::new(config.settings.clone());
     let (orders, to_servers) = tokio::sync::mpsc::unbounded_channel();
     let (adopted, to_clients) = tokio::sync::mpsc::unbounded_channel();
     let discovery = discovery::Discovery::new(
@@ -173,7 +173,7 @@
     );
     if let Some(resume) = &resume {
         resume.connect(Rc::downgrade(&exchange));
-        discovery.tell_sessions(resume.clone());
+        discovery.attach_sessions(resume.clone());
         tracing::info!("sessions are on: form hosts are asked to keep them");
     }
     let requests: std::rc::Weak<dyn core::Requests> = Rc::downgrade(&exchange) as _;
@@ -191,15 +191,15 @@
     let state = match &features.operators.store {
         Some(store) => {
             let folder = operators.and_then(Path::parent).unwrap_or(Path::new("")).join(&store.folder);
-            let parts = state::Parts {
+            let parts = state::Dependencies {
                 core: core.clone(),
                 clock: clock.clone(),
                 discovery: discovery.clone(),
                 directory: directory.clone(),
                 descriptors: descriptors.clone(),
-                tuning: tuning.clone(),
+                settings: tuning.clone(),
             };
-            Some((state::State::new(parts, store, &folder, config.seed)?, folder))
+            Some((state::StoredState::new(parts, store, &folder, config.seed)?, folder))
         }
         None => None,
     };
@@ -209,28 +209,28 @@
     let (listener, successors) = match heritage {
         None => {
             match &state {
-                Some((state, folder)) => state.start(&config.known, folder),
-                None => discovery.start_from(&config.known),
+                Some((state, folder)) => state.start(&config.known_list, folder),
+                None => discovery.start(&config.known_list),
             }
             (listen(&clock, config.listen).await?, handover::listen(&path))
         }
         Some(heritage) => {
-            let (before, link, clients, successors) = heritage.parts();
+            let (before, link, clients, successors) = heritage.into_parts();
             for (server, address) in &before.addresses {
                 directory.insert(*server, *address);
             }
-            discovery.start_from(&before.list);
-            handover.follow(before, link);
+            discovery.start(&before.list);
+            handover.follow_predecessor(before, link);
             (clients, Ok(successors))
         }
     };
     if let Some((state, _)) = state {
-        tokio::task::spawn_local(state.follow());
+        tokio::task::spawn_local(state.run());
     }
     let maintenance =
         maintenance::Maintenance::new(core.clone(), clock.clone(), maintenance::path(config.listen));
-    maintenance.look();
-    let own = handover::lies_there(&path);
+    maintenance.refresh();
+    let own = handover::socket_identity(&path);
     let listener = Rc::new(listener);
     match successors {
         Ok(successors) => {
@@ -247,16 +247,16 @@
     let clients = Rc::new(front::Clients {
         exchange: exchange.clone(),
         clock: clock.clone(),
-        openings: places::Places::new(descriptors.clone(), descriptors::Purpose::Opening),
+        openings: slots::Slots::new(descriptors.clone(), descriptors::Purpose::Pending),
         descriptors,
         tuning: tuning.clone(),
         serving: handover.serving.subscribe(),
-        ending: handover.ending.subscribe(),
+        ending: handover.terminating.subscribe(),
         turned_away: Cell::default(),
     });
-    let leaving = shutdown::Leaving {
+    let leaving = shutdown::Shutdown {
         clock: &clock,
-        tuning: &tuning,
+        settings: &tuning,
         handover: &handover,
         clients: &clients,
         listener: &listener,
@@ -273,11 +273,11 @@
         () = clients.clone().adopt(to_clients) => {}
         () = clients.tell() => {}
         () = exchange.watch_over() => {}
-        () = maintenance.follow(), if config.admin.is_some() => {}
-        () = reload::follow(hangup, &config, &tuning, &handover, operators) => {}
-        () = leaving.orderly(term) => {}
+        () = maintenance.watch(), if config.admin.is_some() => {}
+        () = reload::run(hangup, &config, &tuning, &handover, operators) => {}
+        () = leaving.graceful(term) => {}
     }
-    if *handover.serving.borrow() && own == handover::lies_there(&path) {
+    if *handover.serving.borrow() && own == handover::socket_identity(&path) {
         // Nobody has taken over, or laid a socket of its own there: there is nobody to ask any more.
         let _ = std::fs::remove_file(&path);
     }
--- a/node/tests/process.rs
+++ b/node/tests/process.rs
@@ -249,7 +249,7 @@
     let text = node.configure("{");
     node.signal("HUP");
     let said = node.logged("SIGHUP");
-    assert!(said.contains("ERROR SIGHUP: the configuration stays as it was: "), "{said}");
+    assert!(said.contains("ERROR SIGHUP: configuration unchanged: "), "{said}");
     node.configure(&text);
     for entry in [other.entry("DRAINING"), other.entry("SERVING")] {
         drop(node.move_discovery());
@@ -296,7 +296,7 @@
         node.configure(&bad);
         node.signal("HUP");
         let said = node.logged("SIGHUP");
-        assert!(said.contains("ERROR SIGHUP: the configuration stays as it was: "), "{said}");
+        assert!(said.contains("ERROR SIGHUP: configuration unchanged: "), "{said}");
         node.stand(&host);
     }
     let ask = |node: &Node, id: u32, class: &str| {
@@ -547,7 +547,7 @@
     let mut early: Vec<_> = (0..5).map(|_| old.connect()).collect();
     let text = old.configure("{");
     let mut new = old.successor();
-    old.logged("a successor takes clients");
+    old.logged("a successor accepts clients");
     old.configure(&text);
     assert_eq!(old.operate("GET /healthcheck"), "HTTP/1.1 503 Service Unavailable");
     assert_eq!(new.operate("GET /healthcheck"), "HTTP/1.1 200 OK");
@@ -597,7 +597,7 @@
     assert_eq!(early.pop().expect("four stand").rest(), ["BYE", "(end)"]);
     servers.pop().expect("three stand").reset();
     assert_eq!(early.pop().expect("three stand").line(), "(reset)");
-    new.logged("the process before has ended");
+    new.logged("the predecessor has ended");
     new.stand(&host);
 }
 
@@ -607,12 +607,12 @@
     let mut old = Node::start(&[&host], SOCKETS);
     for _ in 0..2 {
         let mut new = old.successor();
-        old.logged("a successor takes clients");
+        old.logged("a successor accepts clients");
         let (mut client, _server) = new.stand(&host);
         new.signal("KILL");
         new.ended();
         assert!(client.line().starts_with('('));
-        old.logged("takes clients again");
+        old.logged("accepts clients again");
         old.stand(&host);
         assert_eq!(old.operate("GET /healthcheck"), "HTTP/1.1 200 OK");
     }
--- a/node/tests/pushed.rs
+++ b/node/tests/pushed.rs
@@ -119,6 +119,6 @@
     assert!(only(&new, &staying, &leaving), "the successor sent something to a draining host");
     new.signal("KILL");
     new.ended();
-    old.logged("takes clients again");
+    old.logged("accepts clients again");
     assert!(only(&old, &staying, &leaving), "the old process sent something to a draining host");
 }
--- a/node/tests/state_command.rs
+++ b/node/tests/state_command.rs
@@ -25,7 +25,7 @@
         assert!(store.keep(record).expect("it is kept"));
     }
     let show = state("show", folder).expect("it is sound");
-    assert!(show.contains("2 records") && show.contains("version 41, 2 form hosts"), "{show}");
+    assert!(show.contains("2 records") && show.contains("version 41, 2 servers"), "{show}");
     let taken = state("compact", folder).expect_err("a balancer writes it");
     assert!(taken.contains("another process writes it"), "{taken}");
     drop(store);
