--- a/node/src/backend/lease_link.rs
+++ b/node/src/backend/lease_link.rs
@@ -4,7 +4,7 @@
 use crate::io::clock::{Clock, Millis};
 use crate::io::connect::connect;
 use crate::io::descriptors::Descriptor;
-use crate::io::pump::{self, Between};
+use crate::io::pump::{self, InterleavedLines};
 use marllink::ServerId;
 use marllink_sessions::Event;
 use marllink_sessions::keep::{self, FrameReader, Reply};
@@ -22,7 +22,7 @@
     server: ServerId,
     address: SocketAddr,
     owner: u64,
-    outgoing: Rc<Between>,
+    outgoing: Rc<InterleavedLines>,
     descriptor: Descriptor,
 ) {
     let reason = match clock.within(HANDSHAKE_TIMEOUT_MS, handshake(&clock, address, owner)).await {
@@ -93,9 +93,9 @@
     }
 }
 
-async fn write_calls(stream: &TcpStream, outgoing: Rc<Between>) -> String {
+async fn write_calls(stream: &TcpStream, outgoing: Rc<InterleavedLines>) -> String {
     loop {
-        outgoing.some().await;
+        outgoing.wait_for_lines().await;
         let bytes = outgoing.take();
         if let Err(error) = pump::write_all(stream, &bytes).await {
             return error.to_string();
--- a/node/src/backend/server.rs
+++ b/node/src/backend/server.rs
@@ -6,11 +6,11 @@
 use crate::io::clock::{Clock, Millis};
 use crate::io::connect::{ConnectError, connect};
 use crate::io::descriptors::Descriptor;
-use crate::io::pump::{self, Filled};
+use crate::io::pump::{self, FillEnd};
 use crate::io::ring::{End, Ring};
-use crate::operations::tuning::Tuning;
-use crate::protocol::line::{self, LONGEST, Opening, Reply};
-use crate::protocol::session::{self, FromHost};
+use crate::operations::active_settings::ActiveSettings;
+use crate::protocol::line::{self, MAX_LINE_BYTES, OpenRequest, ServerLine};
+use crate::protocol::session::{self, FromServer};
 use marllink::Outcome;
 use socket2::SockRef;
 use std::net::Shutdown;
@@ -29,7 +29,7 @@
 /// The parameters of a connection that is to be established.
 struct ConnectionSetup {
     address: SocketAddr,
-    opening: Rc<Opening>,
+    open_request: Rc<OpenRequest>,
     session_ballot: Option<String>,
     /// When the attempt times out.
     deadline: Millis,
@@ -41,7 +41,7 @@
     /// The clock for timeouts.
     pub clock: Clock,
     /// The settings in force: the connect timeout, and whether servers answer probes with a load report.
-    pub tuning: Rc<Tuning>,
+    pub settings: Rc<ActiveSettings>,
 }
 
 impl Backend {
@@ -71,10 +71,18 @@
     /// A connection that is restored belongs to this server, so the balancer cannot retry it elsewhere:
     /// retries are made here until the attempt times out.
     async fn make_attempt(&self, attempt: Attempt) {
-        let Attempt { address, opening, session_ballot, wait_ms, restore_retry, pipe, handle, descriptor } =
-            attempt;
+        let Attempt {
+            address,
+            open_request,
+            session_ballot,
+            wait_ms,
+            restore_retry,
+            pipe,
+            handle,
+            descriptor,
+        } = attempt;
         let setup =
-            ConnectionSetup { address, opening, session_ballot, deadline: self.clock.now() + wait_ms };
+            ConnectionSetup { address, open_request, session_ballot, deadline: self.clock.now() + wait_ms };
         let mut backoff = Backoff::default();
         let established = loop {
             let end = match self.establish(&setup, &pipe, &handle).await {
@@ -136,15 +144,15 @@
             })?,
         };
         // A restored connection goes back to its server even if that is draining.
-        if setup.opening.at.is_none() && !handle.may_start() {
+        if setup.open_request.previous_server.is_none() && !handle.may_start() {
             return Err(AttemptEnd::new(Outcome::NotSent, AttemptCause::ServerDraining));
         }
         let left_ms = setup.deadline - self.clock.now();
-        let head = setup.opening.for_host(left_ms, setup.session_ballot.as_deref());
+        let head = setup.open_request.for_server(left_ms, setup.session_ballot.as_deref());
         let answered = tokio::select! {
             biased;
             outcome = handle.cancelled() => Err(AttemptEnd::cancelled(outcome)),
-            answered = self.send_opening(&stream, &head, left_ms, pipe, handle) => answered,
+            answered = self.send_open_request(&stream, &head, left_ms, pipe, handle) => answered,
         };
         match answered {
             Ok(()) => Ok(stream),
@@ -163,7 +171,7 @@
         wait_ms: Millis,
         on_no_response: impl FnOnce(),
     ) -> Result<TcpStream, ConnectError> {
-        let timeout_ms = self.tuning.now().balancing.limits.connect_timeout_ms;
+        let timeout_ms = self.settings.current().balancing.limits.connect_timeout_ms;
         let connected = connect(&self.clock, address, timeout_ms.min(wait_ms)).await;
         // A connect that had less time says nothing about the server.
         if matches!(connected, Err(ConnectError::TimedOut)) && wait_ms >= timeout_ms {
@@ -176,7 +184,7 @@
     }
 
     /// Sends the first line and waits for the answer.
-    async fn send_opening(
+    async fn send_open_request(
         &self,
         stream: &TcpStream,
         head: &[u8],
@@ -217,22 +225,22 @@
             Some(Ok(line)) => line,
             // The server waits for a lease from the replicas, so the missing answer is not its failure.
             None if pipe.has_session.get() && handle.awaits_lease() => {
-                received.discard(received.held());
+                received.discard(received.uncommitted());
                 return Err(AttemptEnd::new(Outcome::Cancelled, AttemptCause::NoAnswer));
             }
             None => {
-                received.discard(received.held());
+                received.discard(received.uncommitted());
                 return Err(AttemptEnd::new(Outcome::TimedOut, AttemptCause::NoAnswer));
             }
             Some(Err(loss)) => {
-                received.discard(received.held());
+                received.discard(received.uncommitted());
                 return Err(AttemptEnd::new(Outcome::Reset, AttemptCause::IncompleteAnswer(loss)));
             }
         };
-        let outcome = match line::reply(&line) {
+        let outcome = match line::parse_server_line(&line) {
             // The server claims a session for which it was granted no lease.
-            Reply::Up if pipe.has_session.get() && !handle.has_lease() => Outcome::Error,
-            Reply::Up => {
+            ServerLine::Up if pipe.has_session.get() && !handle.has_lease() => Outcome::Error,
+            ServerLine::Up => {
                 received.commit(line.len());
                 return if handle.established() {
                     Ok(())
@@ -240,16 +248,16 @@
                     Err(AttemptEnd::cancelled(Outcome::Cancelled))
                 };
             }
-            Reply::Bye(_) => {
-                received.commit(received.held());
+            ServerLine::Bye(_) => {
+                received.commit(received.uncommitted());
                 return Err(AttemptEnd::new(Outcome::Ok, AttemptCause::Answered));
             }
-            Reply::Move => Outcome::Cancelled,
-            Reply::Busy(_) => Outcome::Full,
+            ServerLine::Move => Outcome::Cancelled,
+            ServerLine::Busy(_) => Outcome::Full,
             _ => Outcome::Error,
         };
         // The client does not get this answer, but that of the next attempt.
-        received.discard(received.held());
+        received.discard(received.uncommitted());
         Err(AttemptEnd::new(outcome, AttemptCause::Answered))
     }
 
@@ -264,9 +272,9 @@
         let reading = pump::fill(stream, &pipe.server_to_client, on_data);
         let writing = async {
             if pipe.has_session.get() {
-                pump::empty_between(&pipe.client_to_server, &pipe.inserted_to_server, stream, true).await
+                pump::flush_interleaved(&pipe.client_to_server, &pipe.inserted_to_server, stream, true).await
             } else {
-                pump::empty(&pipe.client_to_server, stream).await
+                pump::flush(&pipe.client_to_server, stream).await
             }
         };
         tokio::pin!(reading, writing);
@@ -275,11 +283,11 @@
             more = &mut writing => {
                 // The client has closed its side; the server may still send.
                 let end = if more { self.clock.within(LINGER_MS, &mut reading).await } else { None };
-                (end.unwrap_or(Filled::Stopped), true)
+                (end.unwrap_or(FillEnd::Stopped), true)
             }
         };
         match end {
-            Filled::Closed => {
+            FillEnd::Closed => {
                 pipe.server_to_client.end(End::Closed);
                 // After its closing message, the server expects nothing more from the client.
                 if let Some(outcome) = closing_outcome.get() {
@@ -292,14 +300,14 @@
                 self.clock.within(LINGER_MS, &mut writing).await;
                 AttemptEnd::new(Outcome::Reset, AttemptCause::Broken(ConnectionLoss::EndOfStream))
             }
-            Filled::DirectionEnded => AttemptEnd::cancelled(Outcome::Cancelled),
+            FillEnd::DirectionEnded => AttemptEnd::cancelled(Outcome::Cancelled),
             _ if client_left => AttemptEnd::new(Outcome::Cancelled, AttemptCause::ClientClosed),
-            _ if pipe.server_to_client.held() > LONGEST => Self::line_too_long(pipe),
-            Filled::Broken(error) => {
+            _ if pipe.server_to_client.uncommitted() > MAX_LINE_BYTES => Self::line_too_long(pipe),
+            FillEnd::Broken(error) => {
                 pipe.server_to_client.end(End::Reset);
                 AttemptEnd::new(Outcome::Reset, AttemptCause::Broken(ConnectionLoss::Read(error)))
             }
-            Filled::Stopped => {
+            FillEnd::Stopped => {
                 pipe.server_to_client.end(End::Reset);
                 AttemptEnd::new(Outcome::Reset, AttemptCause::Broken(ConnectionLoss::Abandoned))
             }
@@ -316,14 +324,14 @@
     /// Sends a load probe to a server.
     async fn send_probe(&self, probe: Probe) {
         let Probe { address, mut result, descriptor } = probe;
-        let reports = !self.tuning.now().names.report_fields.is_empty();
+        let reports = !self.settings.current().names.report_fields.is_empty();
         let query: &[u8] = if reports { b"STATS\r\n" } else { b"PING\r\n" };
         let query_load = async {
             let stream = self.connect(address, PROBE_TIMEOUT_MS, || result.no_connection()).await.ok()?;
             pump::write_all(&stream, query).await.ok()?;
             let line = read_first_line(&stream, &Ring::new()).await.ok()?;
-            match line::reply(&line) {
-                Reply::Pong(report) => Some(report),
+            match line::parse_server_line(&line) {
+                ServerLine::Pong(report) => Some(report),
                 _ => None,
             }
         };
@@ -359,7 +367,7 @@
                 async { while let Ok(true) = pump::discard(socket, DISCARD_CHUNK_BYTES).await {} };
             self.clock.within(handle.hold_ms(), remaining_input).await;
         }
-        if pipe.client_to_server.broken() {
+        if pipe.client_to_server.is_reset() {
             pump::reset(socket);
         } else if !pipe.handed_over() {
             // Closing a socket with unread bytes would reset it, which may destroy the client's last lines.
@@ -377,7 +385,7 @@
 ) -> Result<Vec<u8>, ConnectionLoss> {
     let writing_lines = async {
         loop {
-            pipe.inserted_to_server.some().await;
+            pipe.inserted_to_server.wait_for_lines().await;
             if pump::write_all(stream, &pipe.inserted_to_server.take()).await.is_err() {
                 return;
             }
@@ -386,7 +394,7 @@
     let reading_answer = async {
         loop {
             let line = read_first_line(stream, &pipe.server_to_client).await?;
-            let Some(FromHost::Renew(k)) = session::from_host(&line) else { return Ok(line) };
+            let Some(FromServer::Renew(k)) = session::from_server(&line) else { return Ok(line) };
             pipe.server_to_client.discard(line.len());
             handle.request_lease(k);
         }
@@ -400,14 +408,14 @@
 
 /// Reads the first line and leaves it in the ring.
 async fn read_first_line(stream: &TcpStream, ring: &Ring) -> Result<Vec<u8>, ConnectionLoss> {
-    let complete = || ring.line().is_some() || ring.held() > LONGEST;
+    let complete = || ring.peek_line().is_some() || ring.uncommitted() > MAX_LINE_BYTES;
     let filled = pump::fill(stream, ring, || !complete()).await;
-    let line = ring.line().filter(|line| line.len() <= LONGEST);
+    let line = ring.peek_line().filter(|line| line.len() <= MAX_LINE_BYTES);
     line.ok_or(match filled {
-        Filled::Closed => ConnectionLoss::EndOfStream,
-        Filled::Broken(error) => ConnectionLoss::Read(error),
-        Filled::Stopped => ConnectionLoss::LineTooLong,
-        Filled::DirectionEnded => ConnectionLoss::Abandoned,
+        FillEnd::Closed => ConnectionLoss::EndOfStream,
+        FillEnd::Broken(error) => ConnectionLoss::Read(error),
+        FillEnd::Stopped => ConnectionLoss::LineTooLong,
+        FillEnd::DirectionEnded => ConnectionLoss::Abandoned,
     })
 }
 
@@ -415,19 +423,19 @@
 /// time. Returns false if a line is too long.
 fn forward_lines(pipe: &Pipe, handle: &AttemptHandle) -> bool {
     let closing_outcome = &pipe.closing_outcome;
-    while let Some(line) = pipe.server_to_client.line() {
-        match session::from_host(&line).filter(|_| pipe.has_session.get()) {
-            Some(FromHost::Renew(k)) => {
-                pipe.server_to_client.take(line.len());
+    while let Some(line) = pipe.server_to_client.peek_line() {
+        match session::from_server(&line).filter(|_| pipe.has_session.get()) {
+            Some(FromServer::Renew(k)) => {
+                pipe.server_to_client.remove(line.len());
                 handle.request_lease(k);
                 continue;
             }
-            Some(FromHost::Saved(n)) => {
+            Some(FromServer::Saved(n)) => {
                 pipe.server_to_client.commit(line.len());
                 handle.saved(pipe, n);
                 continue;
             }
-            Some(FromHost::Taken) => {
+            Some(FromServer::Taken) => {
                 closing_outcome.set(Some(Outcome::Cancelled));
                 pipe.server_to_client.commit(line.len());
                 continue;
@@ -435,13 +443,13 @@
             None => {}
         }
         closing_outcome.set(None);
-        match line::reply(&line) {
-            Reply::Load(load) => handle.load(pipe, load),
-            Reply::Bye(_) => closing_outcome.set(Some(Outcome::Ok)),
-            Reply::Move => closing_outcome.set(Some(Outcome::Cancelled)),
+        match line::parse_server_line(&line) {
+            ServerLine::Load(load) => handle.load(pipe, load),
+            ServerLine::Bye(_) => closing_outcome.set(Some(Outcome::Ok)),
+            ServerLine::Move => closing_outcome.set(Some(Outcome::Cancelled)),
             _ => handle.answered(pipe),
         }
         pipe.server_to_client.commit(line.len());
     }
-    pipe.server_to_client.held() <= LONGEST
+    pipe.server_to_client.uncommitted() <= MAX_LINE_BYTES
 }
--- a/node/src/exchange/commands.rs
+++ b/node/src/exchange/commands.rs
@@ -3,7 +3,7 @@
 use super::{AttemptHandle, Pipe, ProbeResult, RequestHandle};
 use crate::io::clock::Millis;
 use crate::io::descriptors::Descriptor;
-use crate::protocol::line::Opening;
+use crate::protocol::line::OpenRequest;
 use marllink::Outcome;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -48,7 +48,7 @@
     /// The server's address.
     pub address: SocketAddr,
     /// The client's first line.
-    pub opening: Rc<Opening>,
+    pub open_request: Rc<OpenRequest>,
     /// The session and ballot under which the server is to hold the session, if the request has one.
     pub session_ballot: Option<String>,
     /// Maximum time until the connection is established, in milliseconds.
--- a/node/src/exchange/handles.rs
+++ b/node/src/exchange/handles.rs
@@ -38,12 +38,12 @@
     /// Forwards what the client has sent to the server.
     pub fn forward_lines(&self, pipe: &Pipe) {
         let now = self.exchange.clock.now();
-        while let Some(line) = pipe.client_to_server.line() {
+        while let Some(line) = pipe.client_to_server.peek_line() {
             pipe.unanswered.borrow_mut().line_sent(now);
             pipe.client_to_server.commit(line.len());
         }
         // An incomplete line is forwarded as well: only the direction to the client has to end between lines.
-        pipe.client_to_server.commit(pipe.client_to_server.held());
+        pipe.client_to_server.commit(pipe.client_to_server.uncommitted());
     }
 
     /// Ends the request because the client sent data before its answer. The protocol does not allow that,
@@ -171,7 +171,7 @@
         let (exchange, request) = (&self.exchange, self.id);
         let now = exchange.clock.now();
         pipe.unanswered.borrow_mut().line_received(now);
-        if exchange.tuning.now().servers_report_delay {
+        if exchange.settings.current().servers_report_delay {
             let mut delays = exchange.delays.borrow_mut();
             let (established_at, previous_load) = (pipe.established_at.get(), pipe.reported_load.get());
             let (delay_reported_at, report_threshold_ms) =
@@ -249,7 +249,7 @@
     /// Records the server's answer.
     pub fn answered(&mut self, report: &Report) {
         if let Some(exchange) = self.exchange.upgrade() {
-            self.report = report::in_order(report, &exchange.tuning.now().names.report_fields);
+            self.report = report::ordered_values(report, &exchange.settings.current().names.report_fields);
             self.ok = true;
         }
     }
--- a/node/src/exchange/mod.rs
+++ b/node/src/exchange/mod.rs
@@ -15,12 +15,12 @@
 use crate::core::{Core, RequestActions};
 use crate::io::clock::{Clock, Millis};
 use crate::io::descriptors::{Descriptors, Purpose};
-use crate::io::pump::Between;
+use crate::io::pump::InterleavedLines;
 use crate::io::ring::End;
 use crate::membership::directory::Directory;
-use crate::operations::tuning::Tuning;
+use crate::operations::active_settings::ActiveSettings;
 use crate::protocol::handover::Connection;
-use crate::protocol::line::{self, Opening};
+use crate::protocol::line::{self, OpenRequest};
 use crate::protocol::session::{self, FromClient};
 pub use commands::{AdoptedClient, Attempt, BackendCommand, Probe, RestoreRetry};
 pub use handles::{AttemptHandle, ProbeResult, RequestHandle};
@@ -84,7 +84,7 @@
 struct RequestEntry {
     /// Reserves the client's id until the request has ended.
     _id: IdInUse,
-    opening: Rc<Opening>,
+    open_request: Rc<OpenRequest>,
     pipe: Rc<Pipe>,
     phase: Phase,
     /// Number of attempts made.
@@ -137,7 +137,7 @@
     clock: Clock,
     directory: Rc<Directory>,
     descriptors: Rc<Descriptors>,
-    tuning: Rc<Tuning>,
+    settings: Rc<ActiveSettings>,
     backend_commands: mpsc::UnboundedSender<BackendCommand>,
     adopted_clients: mpsc::UnboundedSender<AdoptedClient>,
     entries: RefCell<BTreeMap<RequestId, RequestEntry>>,
@@ -158,18 +158,18 @@
         clock: Clock,
         directory: Rc<Directory>,
         descriptors: Rc<Descriptors>,
-        tuning: Rc<Tuning>,
+        settings: Rc<ActiveSettings>,
         side_channels: SideChannels,
         session_driver: Option<Rc<SessionDriver>>,
     ) -> Rc<Self> {
         let SideChannels { backend_commands, adopted_clients } = side_channels;
-        let delays = RefCell::new(MessageDelays::new(strictest_message_goal_ms(&tuning)));
+        let delays = RefCell::new(MessageDelays::new(strictest_message_goal_ms(&settings)));
         Rc::new_cyclic(|weak_self| Self {
             core,
             clock,
             directory,
             descriptors,
-            tuning,
+            settings,
             backend_commands,
             adopted_clients,
             entries: RefCell::default(),
@@ -189,31 +189,32 @@
     /// Returns the reason if no server may receive the request.
     pub async fn open(
         &self,
-        opening: Opening,
+        open_request: OpenRequest,
         pipe: Rc<Pipe>,
         patience_ms: Millis,
     ) -> Result<RequestHandle, &'static str> {
-        let settings = self.tuning.now();
+        let settings = self.settings.current();
         let names = &settings.names;
         // Substituting another class would serve the request by the wrong rules.
-        let class = names.classes.id(&opening.class).ok_or("unknown class")?;
-        let tenant = match &opening.tenant {
+        let class = names.classes.id(&open_request.class).ok_or("unknown class")?;
+        let tenant = match &open_request.tenant {
             Some(tenant) if !names.tenants.is_empty() => names.tenants.id(tenant).ok_or("unknown tenant")?,
             _ => 0,
         };
         // Servers identify connections by these ids: a second connection with the same id would be taken
         // for a copy of the first.
-        let id_in_use = IdInUse::reserve(opening.id, &self.ids_in_use)
+        let id_in_use = IdInUse::reserve(open_request.id, &self.ids_in_use)
             .filter(|id| !self.predecessor_ids.borrow().contains(&id.id))
             .ok_or("the request id is in use")?;
-        let previous_server = opening.at.as_deref().map(|uid| ServerId(line::number_of(uid)));
+        let previous_server =
+            open_request.previous_server.as_deref().map(|uid| ServerId(line::hash_server_name(uid)));
         let max_wait_ms = if previous_server.is_some() { MAX_RESTORE_WAIT_MS } else { f64::INFINITY };
-        let wait_ms = opening.wait_ms.min(max_wait_ms) - ANSWER_MARGIN_MS;
+        let wait_ms = open_request.wait_ms.min(max_wait_ms) - ANSWER_MARGIN_MS;
         let received_at = self.clock.now();
         if let Some(server) = previous_server {
-            let known = self.directory.known(server);
+            let known = self.directory.wait_for_server(server);
             let patience_over = async {
-                self.directory.told().await;
+                self.directory.wait_for_list().await;
                 self.clock.sleep(patience_ms).await;
             };
             tokio::select! {
@@ -229,15 +230,15 @@
             class: ClassId(class),
             tenant: TenantId(tenant),
             time_left_ms: wait_ms - (self.clock.now() - received_at),
-            retry: opening.retry,
-            group: opening.group,
+            retry: open_request.is_retry,
+            group: open_request.group,
         };
         let time_left_ms = new_request.time_left_ms;
-        let session = opening.session.as_ref().map(|(text, _)| text.clone());
+        let session = open_request.session.as_ref().map(|(text, _)| text.clone());
         pipe.has_session.set(session.is_some());
         let entry = RequestEntry {
             _id: id_in_use,
-            opening: Rc::new(opening),
+            open_request: Rc::new(open_request),
             pipe,
             phase: Phase::Waiting,
             attempt_count: 0,
@@ -297,7 +298,7 @@
     }
 
     fn report_unanswered(&self, now: Millis) {
-        let limit_ms = UNANSWERED_GOAL_RATIO * strictest_message_goal_ms(&self.tuning);
+        let limit_ms = UNANSWERED_GOAL_RATIO * strictest_message_goal_ms(&self.settings);
         let overdue = |entry: &RequestEntry| {
             matches!(entry.phase, Phase::Established)
                 && entry.pipe.unanswered.borrow().unresponsive_ms(now) > limit_ms
@@ -334,7 +335,7 @@
 
     /// Applies changed settings.
     pub fn settings_changed(&self) {
-        self.delays.borrow_mut().set_strictest_goal(strictest_message_goal_ms(&self.tuning));
+        self.delays.borrow_mut().set_strictest_goal(strictest_message_goal_ms(&self.settings));
     }
 
     /// Returns the ids of the open requests, as chosen by the clients.
@@ -373,10 +374,10 @@
             let Some(active) = &entry.active_attempt else { continue };
             let session = self.session_driver.as_ref().and_then(|driver| driver.hand_over(*id));
             let connection = Connection {
-                id: entry.opening.id,
-                class: entry.opening.class.clone(),
-                tenant: entry.opening.tenant.clone(),
-                group: entry.opening.group,
+                id: entry.open_request.id,
+                class: entry.open_request.class.clone(),
+                tenant: entry.open_request.tenant.clone(),
+                group: entry.open_request.group,
                 server: active.server,
                 load: entry.pipe.reported_load.get(),
                 session,
@@ -397,7 +398,7 @@
         let Connection { id, class, tenant, group, server, load, session } = connection;
         // The predecessor may still list this id as its own, but no other request here can have it.
         let Some(id_in_use) = IdInUse::reserve(id, &self.ids_in_use) else { return };
-        let names = &self.tuning.now().names;
+        let names = &self.settings.current().names;
         let class_id = names.classes.id_including_withdrawn(&class);
         let tenant_id = tenant.as_ref().and_then(|tenant| names.tenants.id_including_withdrawn(tenant));
         let (request, exchange) = (
@@ -411,7 +412,7 @@
         let attempt = AttemptNo(0);
         let entry = RequestEntry {
             _id: id_in_use,
-            opening: Rc::new(Opening::standing(id, class, tenant, group)),
+            open_request: Rc::new(OpenRequest::established(id, class, tenant, group)),
             pipe: pipe.clone(),
             phase: Phase::Established,
             attempt_count: 1,
@@ -489,7 +490,7 @@
     }
 
     fn reject_session(&self, id: RequestId, retry_after_ms: Millis) {
-        self.answer(id, line::busy(retry_after_ms), EndReason::Session);
+        self.answer(id, line::busy_line(retry_after_ms), EndReason::Session);
         self.core.feed(Event::ClientGone(id));
     }
 
@@ -512,10 +513,10 @@
 
     /// Inserts lines of the balancer between two lines of the connection, in the direction that `queue`
     /// selects.
-    fn insert_lines(&self, id: RequestId, lines: &[u8], queue: impl Fn(&Pipe) -> &Between) {
+    fn insert_lines(&self, id: RequestId, lines: &[u8], queue: impl Fn(&Pipe) -> &InterleavedLines) {
         let pipe = self.entries.borrow().get(&id).map(|entry| entry.pipe.clone());
         if let Some(pipe) = pipe
-            && !queue(&pipe).add(lines)
+            && !queue(&pipe).push(lines)
         {
             // The queue is full because the receiver has stopped reading; the connection is of no use to it.
             self.end_session(id, "MOVE\r\n");
@@ -540,15 +541,15 @@
     fn forward_session_lines(&self, id: RequestId, pipe: &Pipe) -> bool {
         let Some(session_driver) = self.session_driver_of(id) else { return true };
         while session_driver.has_room(id)
-            && let Some(line) = pipe.client_to_server.line()
+            && let Some(line) = pipe.client_to_server.peek_line()
         {
             match session::from_client(&line) {
                 Some(FromClient::Save(field)) => {
-                    pipe.client_to_server.take(line.len());
+                    pipe.client_to_server.remove(line.len());
                     session_driver.feed(SessionEvent::Saves { request: id, field });
                 }
                 Some(FromClient::Have) => {
-                    pipe.client_to_server.take(line.len());
+                    pipe.client_to_server.remove(line.len());
                     session_driver.feed(SessionEvent::Has { request: id });
                 }
                 None => {
@@ -557,7 +558,8 @@
                 }
             }
         }
-        pipe.client_to_server.held() <= line::LONGEST || pipe.client_to_server.line().is_some()
+        pipe.client_to_server.uncommitted() <= line::MAX_LINE_BYTES
+            || pipe.client_to_server.peek_line().is_some()
     }
 
     /// Sends the final answer to every request that still waits for it.
@@ -573,7 +575,7 @@
         // The balancer does not know a request whose session has not been claimed yet; that request was not
         // sent to any server.
         let unsent = self.entries.borrow().get(&id).is_none_or(|entry| entry.attempt_count == 0);
-        let line = if unsent { line::busy(0.0) } else { "ERR\r\n".into() };
+        let line = if unsent { line::busy_line(0.0) } else { "ERR\r\n".into() };
         self.answer(id, line, EndReason::AnsweredAtOnce);
     }
 
@@ -664,7 +666,7 @@
 
     /// Returns which failed attempts to restore a connection of this class may be repeated.
     fn restore_retry(&self, class: &str) -> RestoreRetry {
-        let settings = self.tuning.now();
+        let settings = self.settings.current();
         let number = settings.names.classes.id(class);
         let class = number.and_then(|number| settings.balancing.classes.get(usize::from(number)));
         match class.map(|class| class.idempotency) {
@@ -683,13 +685,13 @@
         if entries.get(&id).is_some_and(done)
             && let Some(entry) = entries.remove(&id)
         {
-            entry.record.log(entry.opening.id);
+            entry.record.log(entry.open_request.id);
         }
     }
 }
 
-fn strictest_message_goal_ms(tuning: &Tuning) -> Millis {
-    let settings = tuning.now();
+fn strictest_message_goal_ms(settings: &ActiveSettings) -> Millis {
+    let settings = settings.current();
     let goals =
         settings.balancing.classes.iter().map(|class| class.message_goal_ms).filter(|goal| *goal > 0.0);
     goals.fold(f64::INFINITY, f64::min)
@@ -708,10 +710,10 @@
         let attempt = AttemptNo(entry.attempt_count);
         entry.attempt_count = entry.attempt_count.saturating_add(1);
         let allowed = matches!(entry.phase, Phase::Waiting)
-            && entry.attempt_count <= self.tuning.now().balancing.limits.max_attempts.max(1);
+            && entry.attempt_count <= self.settings.current().balancing.limits.max_attempts.max(1);
         let address = self.directory.address(server).filter(|_| allowed);
         let Some((address, descriptor)) =
-            address.and_then(|address| Some((address, self.descriptors.take(Purpose::Served)?)))
+            address.and_then(|address| Some((address, self.descriptors.acquire(Purpose::Served)?)))
         else {
             let closed = matches!(entry.phase, Phase::Ended);
             let outcome = Outcome::NotSent;
@@ -733,7 +735,7 @@
             end: None,
             lease_requested: Cell::default(),
         };
-        let (opening, pipe) = (entry.opening.clone(), entry.pipe.clone());
+        let (open_request, pipe) = (entry.open_request.clone(), entry.pipe.clone());
         let has_session = entry.session_request.is_some();
         drop(entries);
         let session_ballot =
@@ -743,10 +745,19 @@
                 session_driver.feed(SessionEvent::Attempt { request: id, server });
                 session_driver.session_ballot(id)
             });
-        let restore_retry = opening.at.is_some().then(|| self.restore_retry(&opening.class));
+        let restore_retry =
+            open_request.previous_server.is_some().then(|| self.restore_retry(&open_request.class));
         let wait_ms = timeout_ms;
-        let attempt =
-            Attempt { session_ballot, address, opening, wait_ms, restore_retry, pipe, handle, descriptor };
+        let attempt = Attempt {
+            session_ballot,
+            address,
+            open_request,
+            wait_ms,
+            restore_retry,
+            pipe,
+            handle,
+            descriptor,
+        };
         // The server side only ends together with the process; then dropping the handle ends the attempt.
         let _ = self.backend_commands.send(BackendCommand::Attempt(attempt));
     }
@@ -763,7 +774,7 @@
     }
 
     fn reject(&self, id: RequestId, retry_after_ms: Millis) {
-        self.answer(id, line::busy(retry_after_ms), EndReason::Rejected);
+        self.answer(id, line::busy_line(retry_after_ms), EndReason::Rejected);
     }
 
     fn fail(&self, id: RequestId) {
@@ -784,7 +795,7 @@
         let result = ProbeResult { exchange: self.weak_self.clone(), server, ok: false, report: Vec::new() };
         let address = self.directory.address(server);
         if let Some((address, descriptor)) =
-            address.and_then(|address| Some((address, self.descriptors.take(Purpose::Served)?)))
+            address.and_then(|address| Some((address, self.descriptors.acquire(Purpose::Served)?)))
         {
             let _ = self.backend_commands.send(BackendCommand::Probe(Probe { address, result, descriptor }));
         }
--- a/node/src/exchange/pipe.rs
+++ b/node/src/exchange/pipe.rs
@@ -3,7 +3,7 @@
 use crate::backend::message_delay::UnansweredLines;
 use crate::io::clock::Millis;
 use crate::io::descriptors::Descriptor;
-use crate::io::pump::Between;
+use crate::io::pump::InterleavedLines;
 use crate::io::ring::Ring;
 use crate::protocol::handover::Connection;
 use marllink::Outcome;
@@ -32,9 +32,9 @@
     /// The connection has a session: the balancer inserts lines of its own between those of both sides.
     pub has_session: Cell<bool>,
     /// Lines that the balancer inserts towards the server.
-    pub inserted_to_server: Between,
+    pub inserted_to_server: InterleavedLines,
     /// Lines that the balancer inserts towards the client.
-    pub inserted_to_client: Between,
+    pub inserted_to_client: InterleavedLines,
     pub(super) handoff: RefCell<Option<Rc<Handoff>>>,
 }
 
@@ -50,8 +50,8 @@
             reported_load: Cell::default(),
             closing_outcome: Cell::default(),
             has_session: Cell::default(),
-            inserted_to_server: Between::default(),
-            inserted_to_client: Between::default(),
+            inserted_to_server: InterleavedLines::default(),
+            inserted_to_client: InterleavedLines::default(),
             handoff: RefCell::default(),
         })
     }
@@ -63,8 +63,8 @@
 
     /// Returns true if nothing is in transit, so that another process could continue the connection.
     pub(super) fn is_idle(&self) -> bool {
-        self.client_to_server.idle()
-            && self.server_to_client.idle()
+        self.client_to_server.is_idle()
+            && self.server_to_client.is_idle()
             && self.inserted_to_server.is_empty()
             && self.inserted_to_client.is_empty()
             && self.unanswered.borrow().is_empty()
--- a/node/src/exchange/session_driver.rs
+++ b/node/src/exchange/session_driver.rs
@@ -7,9 +7,9 @@
 use crate::backend::lease_link;
 use crate::io::clock::Clock;
 use crate::io::descriptors::{Descriptors, Purpose};
-use crate::io::pump::Between;
+use crate::io::pump::InterleavedLines;
 use crate::membership::directory::Directory;
-use crate::operations::tuning::Tuning;
+use crate::operations::active_settings::ActiveSettings;
 use marllink::{RequestId, ServerId};
 use marllink_sessions::{Command, Event, KeyRing, Listed, Note, Passed, Sessions, Settings, keep};
 use std::cell::{Cell, RefCell};
@@ -27,13 +27,13 @@
     links: RefCell<HashMap<ServerId, Link>>,
     directory: Rc<Directory>,
     descriptors: Rc<Descriptors>,
-    tuning: Rc<Tuning>,
+    settings: Rc<ActiveSettings>,
     exchange: RefCell<Weak<Exchange>>,
     weak_self: Weak<SessionDriver>,
 }
 
 struct Link {
-    outgoing: Rc<Between>,
+    outgoing: Rc<InterleavedLines>,
     task: AbortHandle,
 }
 
@@ -41,15 +41,15 @@
     /// Creates a driver without sessions. `seed` must come from the system's random number generator.
     pub fn new(
         clock: Clock,
-        settings: Settings,
+        session_settings: Settings,
         keys: KeyRing,
         seed: [u8; 32],
         directory: Rc<Directory>,
         descriptors: Rc<Descriptors>,
-        tuning: Rc<Tuning>,
+        settings: Rc<ActiveSettings>,
     ) -> Rc<Self> {
-        let (now, unix) = (clock.now(), clock.unix());
-        let sessions = Sessions::new(settings, keys, seed, now, unix).into();
+        let (now, unix) = (clock.now(), clock.unix_ms());
+        let sessions = Sessions::new(session_settings, keys, seed, now, unix).into();
         Rc::new_cyclic(|weak_self| Self {
             clock,
             sessions,
@@ -58,7 +58,7 @@
             links: RefCell::default(),
             directory,
             descriptors,
-            tuning,
+            settings,
             exchange: RefCell::default(),
             weak_self: weak_self.clone(),
         })
@@ -144,7 +144,7 @@
             Command::Call { server, call } => {
                 let mut frame = Vec::new();
                 keep::write_frame(&call, &mut frame);
-                let queued = self.links.borrow().get(&server).is_none_or(|link| link.outgoing.add(&frame));
+                let queued = self.links.borrow().get(&server).is_none_or(|link| link.outgoing.push(&frame));
                 if !queued {
                     // The queue of the link is full because the server has stopped reading.
                     self.execute(Command::Unlink(server));
@@ -153,7 +153,7 @@
             }
             Command::Proceed(request) => exchange.proceed(request),
             Command::Refuse { request, retry_after_ms } => {
-                let limits = &self.tuning.now().balancing.limits;
+                let limits = &self.settings.current().balancing.limits;
                 let advised_ms =
                     if limits.retry_after { retry_after_ms.min(limits.max_retry_after_ms) } else { 0.0 };
                 tracing::debug!(event = "session_refused", request = request.0, retry_after_ms = advised_ms);
@@ -187,12 +187,13 @@
 
     fn link(&self, server: ServerId) {
         let address = self.directory.address(server);
-        let reserved = address.and_then(|address| Some((address, self.descriptors.take(Purpose::Served)?)));
+        let reserved =
+            address.and_then(|address| Some((address, self.descriptors.acquire(Purpose::Served)?)));
         let (Some((address, descriptor)), Some(session_driver)) = (reserved, self.weak_self.upgrade()) else {
             self.feed(Event::LinkDown { server });
             return;
         };
-        let outgoing = Rc::new(Between::default());
+        let outgoing = Rc::new(InterleavedLines::default());
         let owner = self.sessions.borrow().owner();
         let link = lease_link::run(
             Rc::downgrade(&session_driver),
--- a/node/src/frontend/line.rs
+++ b/node/src/frontend/line.rs
@@ -5,11 +5,11 @@
 use crate::io::clock::{Clock, Millis};
 use crate::io::descriptors::{Descriptor, Descriptors, Purpose};
 use crate::io::listener::{self, Listener};
-use crate::io::places::{Place, Places};
-use crate::io::pump::{self, Filled};
+use crate::io::pump::{self, FillEnd};
 use crate::io::ring::End;
-use crate::operations::tuning::Tuning;
-use crate::protocol::line::{self, Hello, LONGEST, Opening};
+use crate::io::slots::{Slot, Slots};
+use crate::operations::active_settings::ActiveSettings;
+use crate::protocol::line::{self, FirstLine, MAX_LINE_BYTES, OpenRequest};
 use socket2::SockRef;
 use std::cell::Cell;
 use std::net::Shutdown;
@@ -20,7 +20,7 @@
 /// Maximum time from the accept of a connection to a valid request, in milliseconds. The limit does not
 /// restart with each line, because a client could extend that forever. Clients may take 2 s to write, and
 /// a connection without a request must be answered within 3 s.
-const OPENING_TIMEOUT_MS: Millis = 2_700.0;
+const OPEN_REQUEST_TIMEOUT_MS: Millis = 2_700.0;
 /// Maximum number of `PING`s before a request; a client that sends more is flooding.
 const MAX_PINGS: usize = 8;
 /// Maximum time from the accept of a connection that is rejected to its close, in milliseconds. The client
@@ -50,9 +50,9 @@
     /// The pool of descriptors for the sockets.
     pub descriptors: Rc<Descriptors>,
     /// The settings in force: when clients may retry that are rejected because no descriptor is free.
-    pub tuning: Rc<Tuning>,
+    pub settings: Rc<ActiveSettings>,
     /// Slots for connections that have not sent a valid request yet or are being rejected.
-    pub pending_slots: Rc<Places>,
+    pub pending_slots: Rc<Slots>,
     /// Whether clients are accepted.
     pub serving: watch::Receiver<bool>,
     /// Whether the process is about to end: connections without a request are rejected.
@@ -73,7 +73,7 @@
             };
             match accepted {
                 Ok(stream) => {
-                    let slot = self.pending_slots.place().await;
+                    let slot = self.pending_slots.acquire().await;
                     let frontend = self.clone();
                     tokio::task::spawn_local(async move { frontend.serve(stream, slot).await });
                 }
@@ -112,11 +112,11 @@
     /// yet. Returns true if there were any.
     pub fn accept_pending(self: &Rc<Self>, listener: &Listener) -> bool {
         let mut any = false;
-        while let Some(stream) = listener.accept_waiting() {
+        while let Some(stream) = listener.try_accept() {
             any = true;
             let frontend = self.clone();
             tokio::task::spawn_local(async move {
-                let slot = frontend.pending_slots.place().await;
+                let slot = frontend.pending_slots.acquire().await;
                 match listener::register(stream).await {
                     Ok(stream) => frontend.serve(stream, slot).await,
                     Err(error) => tracing::warn!(%error, "failed to serve an accepted connection"),
@@ -127,12 +127,12 @@
     }
 
     /// Serves one connection until its end.
-    async fn serve(&self, stream: TcpStream, slot: Place) {
+    async fn serve(&self, stream: TcpStream, slot: Slot) {
         // Lines are short and must not be delayed by Nagle's algorithm.
         let _ = stream.set_nodelay(true);
-        let opening_deadline = self.clock.now() + OPENING_TIMEOUT_MS;
+        let request_deadline = self.clock.now() + OPEN_REQUEST_TIMEOUT_MS;
         let pipe = Pipe::new();
-        match self.accept_request(&stream, &pipe, &slot, opening_deadline).await {
+        match self.accept_request(&stream, &pipe, &slot, request_deadline).await {
             Ok((request_handle, descriptor)) => {
                 drop(slot);
                 self.relay(&stream, request_handle, &pipe).await;
@@ -145,12 +145,12 @@
                     self.rejected_count.set(self.rejected_count.get() + 1);
                 }
                 let line = match reason {
-                    RejectReason::RetryLater(wait_ms) => line::busy(wait_ms),
+                    RejectReason::RetryLater(wait_ms) => line::busy_line(wait_ms),
                     _ => "ERR\r\n".into(),
                 };
                 let evicted = async {
                     if !matches!(reason, RejectReason::Evicted) {
-                        slot.needed().await;
+                        slot.evicted().await;
                     }
                 };
                 tokio::select! {
@@ -161,7 +161,7 @@
                         let _ = SockRef::from(&stream).shutdown(Shutdown::Write);
                         pump::drop_unread(&stream);
                     }
-                    () = self.reject(&stream, &line, opening_deadline) => {}
+                    () = self.reject(&stream, &line, request_deadline) => {}
                 }
                 // The slot is released after the socket: the next connection needs the descriptor.
                 drop(stream);
@@ -174,61 +174,61 @@
         &self,
         stream: &TcpStream,
         pipe: &Rc<Pipe>,
-        slot: &Place,
-        opening_deadline: Millis,
+        slot: &Slot,
+        request_deadline: Millis,
     ) -> Result<(RequestHandle, Descriptor), RejectReason> {
         let mut shutting_down = self.shutting_down.clone();
         let result = tokio::select! {
             biased;
-            result = self.clock.within(OPENING_TIMEOUT_MS, self.read_opening(stream, pipe, slot)) => result,
-            () = slot.needed() => Some(Err(RejectReason::Evicted)),
+            result = self.clock.within(OPEN_REQUEST_TIMEOUT_MS, self.read_open_request(stream, pipe, slot)) => result,
+            () = slot.evicted() => Some(Err(RejectReason::Evicted)),
             _ = shutting_down.wait_for(|shutting_down| *shutting_down) => Some(Err(RejectReason::RetryLater(0.0))),
         };
-        let opening = result.unwrap_or(Err(RejectReason::TimedOut))?;
+        let open_request = result.unwrap_or(Err(RejectReason::TimedOut))?;
         if *self.shutting_down.borrow() {
             return Err(RejectReason::RetryLater(0.0));
         }
-        let Some(descriptor) = self.descriptors.take(Purpose::Served) else {
-            let limits = &self.tuning.now().balancing.limits;
+        let Some(descriptor) = self.descriptors.acquire(Purpose::Served) else {
+            let limits = &self.settings.current().balancing.limits;
             return Err(RejectReason::RetryLater(if limits.retry_after {
                 limits.max_retry_after_ms
             } else {
                 0.0
             }));
         };
-        if opening.at.is_some() {
+        if open_request.previous_server.is_some() {
             // A client whose connection is restored may have to wait for its server; it must not be evicted
             // meanwhile.
             slot.release();
         }
-        let left_ms = opening_deadline - self.clock.now();
+        let left_ms = request_deadline - self.clock.now();
         // The client may close while it waits for its server to be listed, but must send nothing before its
         // answer.
         let request_handle = tokio::select! {
             biased;
-            request_handle = self.exchange.open(opening, pipe.clone(), left_ms) => request_handle.map_err(RejectReason::Unservable)?,
+            request_handle = self.exchange.open(open_request, pipe.clone(), left_ms) => request_handle.map_err(RejectReason::Unservable)?,
             _ = pump::fill(stream, &pipe.client_to_server, || false) => {
-                return Err(if pipe.client_to_server.held() > 0 { RejectReason::Malformed } else { RejectReason::Gone });
+                return Err(if pipe.client_to_server.uncommitted() > 0 { RejectReason::Malformed } else { RejectReason::Gone });
             }
         };
         Ok((request_handle, descriptor))
     }
 
     /// Reads until the client has requested a connection, and answers `PING`s until then.
-    async fn read_opening(
+    async fn read_open_request(
         &self,
         stream: &TcpStream,
         pipe: &Pipe,
-        slot: &Place,
-    ) -> Result<Opening, RejectReason> {
+        slot: &Slot,
+    ) -> Result<OpenRequest, RejectReason> {
         for _ in 0..=MAX_PINGS {
             wait_first_line(stream, pipe, slot).await?;
-            match self.take_hello(pipe) {
-                Some(Hello::Ping) => {
+            match self.take_first_line(pipe) {
+                Some(FirstLine::Ping) => {
                     pump::write_all(stream, b"PONG\r\n").await.map_err(|_| RejectReason::Gone)?;
-                    slot.answered();
+                    slot.mark_answered();
                 }
-                Some(Hello::Open(opening)) => return Ok(*opening),
+                Some(FirstLine::Open(open_request)) => return Ok(*open_request),
                 None => break,
             }
         }
@@ -236,23 +236,26 @@
     }
 
     /// Takes the first line out of the ring. Returns `None` unless it is complete and valid.
-    fn take_hello(&self, pipe: &Pipe) -> Option<Hello> {
-        let line = pipe.client_to_server.line().filter(|line| line.len() <= LONGEST)?;
+    fn take_first_line(&self, pipe: &Pipe) -> Option<FirstLine> {
+        let line = pipe.client_to_server.peek_line().filter(|line| line.len() <= MAX_LINE_BYTES)?;
         pipe.client_to_server.discard(line.len());
-        let hello = line::hello(&line);
-        if hello.is_none() {
+        let first_line = line::parse_first_line(&line);
+        if first_line.is_none() {
             tracing::debug!("malformed line: {}", line[..line.len().min(200)].escape_ascii());
         }
         // The protocol requires a client to wait for its answer before it sends more.
-        hello.filter(|hello| match hello {
-            Hello::Ping => true,
-            Hello::Open(opening) => pipe.client_to_server.held() == 0 && self.may_open(opening),
+        first_line.filter(|first_line| match first_line {
+            FirstLine::Ping => true,
+            FirstLine::Open(open_request) => {
+                pipe.client_to_server.uncommitted() == 0 && self.may_open(open_request)
+            }
         })
     }
 
     /// Returns false for a request for a session where sessions are disabled or the connection is restored.
-    fn may_open(&self, opening: &Opening) -> bool {
-        opening.session.is_none() || self.exchange.sessions_enabled() && opening.at.is_none()
+    fn may_open(&self, open_request: &OpenRequest) -> bool {
+        open_request.session.is_none()
+            || self.exchange.sessions_enabled() && open_request.previous_server.is_none()
     }
 
     /// Relays the lines of one request and its connection.
@@ -272,9 +275,10 @@
         let answered = pipe.is_established();
         let writing = async {
             if pipe.has_session.get() {
-                pump::empty_between(&pipe.server_to_client, &pipe.inserted_to_client, stream, answered).await
+                pump::flush_interleaved(&pipe.server_to_client, &pipe.inserted_to_client, stream, answered)
+                    .await
             } else {
-                pump::empty(&pipe.server_to_client, stream).await
+                pump::flush(&pipe.server_to_client, stream).await
             }
         };
         tokio::pin!(reading, writing);
@@ -282,18 +286,18 @@
         let more = tokio::select! {
             () = self.guard_deadline(&request_handle) => false,
             end = &mut reading => match end {
-                Filled::Closed if pipe.is_established() => {
+                FillEnd::Closed if pipe.is_established() => {
                     pipe.client_to_server.end(End::Closed);
                     self.clock.within(LINGER_MS, &mut writing).await;
                     return;
                 }
                 // A client that closes before its answer has cancelled the request.
-                Filled::Closed | Filled::Stopped => return,
-                Filled::Broken(error) => {
+                FillEnd::Closed | FillEnd::Stopped => return,
+                FillEnd::Broken(error) => {
                     tracing::debug!(%error, "reading from a client failed");
                     return;
                 }
-                Filled::DirectionEnded => {
+                FillEnd::DirectionEnded => {
                     // The connection to the server has ended: only the data already received from the server is
                     // still delivered.
                     client_sending = false;
@@ -305,15 +309,15 @@
         if more && client_sending {
             // The server has closed its side; the client may still send.
             match self.clock.within(LINGER_MS, &mut reading).await {
-                Some(Filled::Closed) => return pipe.client_to_server.end(End::Closed),
-                Some(Filled::Broken(_) | Filled::Stopped) => return pipe.client_to_server.end(End::Reset),
-                Some(Filled::DirectionEnded) | None => {}
+                Some(FillEnd::Closed) => return pipe.client_to_server.end(End::Closed),
+                Some(FillEnd::Broken(_) | FillEnd::Stopped) => return pipe.client_to_server.end(End::Reset),
+                Some(FillEnd::DirectionEnded) | None => {}
             }
         }
         // The connection to the server has ended. Further input of the client is discarded, but the client
         // must still receive its closing message.
-        if !pipe.server_to_client.broken() && !pipe.handed_over() {
-            self.drain_input(stream, REJECTED_CLOSE_TIMEOUT_MS - OPENING_TIMEOUT_MS).await;
+        if !pipe.server_to_client.is_reset() && !pipe.handed_over() {
+            self.drain_input(stream, REJECTED_CLOSE_TIMEOUT_MS - OPEN_REQUEST_TIMEOUT_MS).await;
         }
     }
 
@@ -325,8 +329,9 @@
     }
 
     /// Sends a closing message and waits for the client to close.
-    async fn reject(&self, stream: &TcpStream, line: &str, opening_deadline: Millis) {
-        let left_ms = opening_deadline - OPENING_TIMEOUT_MS + REJECTED_CLOSE_TIMEOUT_MS - self.clock.now();
+    async fn reject(&self, stream: &TcpStream, line: &str, request_deadline: Millis) {
+        let left_ms =
+            request_deadline - OPEN_REQUEST_TIMEOUT_MS + REJECTED_CLOSE_TIMEOUT_MS - self.clock.now();
         if self.clock.within(IDLE_CLOSE_TIMEOUT_MS, pump::write_all(stream, line.as_bytes())).await.is_some()
         {
             self.drain_input(stream, left_ms).await;
@@ -379,18 +384,18 @@
 }
 
 /// Waits until the first line is complete, or is too long.
-async fn wait_first_line(stream: &TcpStream, pipe: &Pipe, slot: &Place) -> Result<(), RejectReason> {
+async fn wait_first_line(stream: &TcpStream, pipe: &Pipe, slot: &Slot) -> Result<(), RejectReason> {
     let ring = &pipe.client_to_server;
-    let complete = || ring.line().is_some() || ring.held() > LONGEST;
+    let complete = || ring.peek_line().is_some() || ring.uncommitted() > MAX_LINE_BYTES;
     let on_data = || {
-        slot.heard();
+        slot.touch();
         !complete()
     };
     if complete() {
         return Ok(());
     }
     match pump::fill(stream, ring, on_data).await {
-        Filled::Stopped => Ok(()),
-        Filled::Closed | Filled::Broken(_) | Filled::DirectionEnded => Err(RejectReason::Gone),
+        FillEnd::Stopped => Ok(()),
+        FillEnd::Closed | FillEnd::Broken(_) | FillEnd::DirectionEnded => Err(RejectReason::Gone),
     }
 }
--- a/node/src/serve.rs
+++ b/node/src/serve.rs
@@ -6,13 +6,13 @@
 use crate::frontend::line as frontend;
 use crate::io::clock::{Clock, Millis};
 use crate::io::listener::Listener;
-use crate::io::{descriptors, places};
+use crate::io::{descriptors, slots};
 use crate::membership::{directory, discovery};
 use crate::operations::config::{self, Config};
 use crate::operations::features::{self, Features};
 use crate::operations::file;
-use crate::operations::handover::{self, Heritage};
-use crate::operations::{admin, maintenance, reload, shutdown, state, tuning};
+use crate::operations::handover::{self, Inherited};
+use crate::operations::{active_settings, admin, maintenance, reload, shutdown, state};
 use crate::{core, exchange};
 use std::cell::Cell;
 use std::io::Write;
@@ -79,11 +79,11 @@
     // Signal handlers come first: an unhandled SIGHUP or SIGTERM ends the process, and a SIGHUP that arrives
     // while the configuration is read must reload it.
     let signals = Signals::listen().map_err(|error| error.to_string())?;
-    let clock = Clock::of_machine();
+    let clock = Clock::system();
     let configured = match env_var(config::PATH_VARIABLE) {
         Some(path) => {
-            let text = file::read(&clock, Path::new(&path)).await;
-            config::load(env_var, |_| text.as_ref().map(Clone::clone).map_err(config::copied))
+            let text = file::read_with_retries(&clock, Path::new(&path)).await;
+            config::load(env_var, |_| text.as_ref().map(Clone::clone).map_err(config::clone_error))
         }
         None => config::load(env_var, |path| std::fs::read(path)),
     };
@@ -95,7 +95,7 @@
     };
     let handover_path = listen.map(handover::path);
     let heritage = match &handover_path {
-        Some(path) => handover::ask(path, &clock).await,
+        Some(path) => handover::request(path, &clock).await,
         None => None,
     };
     let (config, heritage) = match heritage {
@@ -131,7 +131,7 @@
 async fn run(
     config: Config,
     clock: Clock,
-    heritage: Option<Heritage>,
+    heritage: Option<Inherited>,
     features: Features,
     operators: Option<&Path>,
     Signals { term, hangup }: Signals,
@@ -139,7 +139,7 @@
     let core = core::Core::new(clock.clone(), config.settings.balancing.clone(), config.seed);
     let directory = Rc::new(directory::Directory::default());
     let descriptors = descriptors::Descriptors::new(config.sockets);
-    let tuning = tuning::Tuning::new(config.settings.clone());
+    let settings = active_settings::ActiveSettings::new(config.settings.clone());
     let (backend_commands, backend_receiver) = tokio::sync::mpsc::unbounded_channel();
     let (adopted_clients, adopted_receiver) = tokio::sync::mpsc::unbounded_channel();
     let discovery = discovery::Discovery::new(
@@ -161,7 +161,7 @@
                 seed,
                 directory.clone(),
                 descriptors.clone(),
-                tuning.clone(),
+                settings.clone(),
             ))
         }
         _ => None,
@@ -171,13 +171,13 @@
         clock.clone(),
         directory.clone(),
         descriptors.clone(),
-        tuning.clone(),
+        settings.clone(),
         exchange::SideChannels { backend_commands, adopted_clients },
         session_driver.clone(),
     );
     if let Some(session_driver) = &session_driver {
         session_driver.connect(Rc::downgrade(&exchange));
-        discovery.tell_sessions(session_driver.clone());
+        discovery.attach_sessions(session_driver.clone());
         tracing::info!("sessions are enabled: servers replicate their state");
     }
     let request_actions: std::rc::Weak<dyn core::RequestActions> = Rc::downgrade(&exchange) as _;
@@ -195,46 +195,46 @@
     let state = match &features.operators.store {
         Some(store) => {
             let folder = operators.and_then(Path::parent).unwrap_or(Path::new("")).join(&store.folder);
-            let parts = state::Parts {
+            let parts = state::Dependencies {
                 core: core.clone(),
                 clock: clock.clone(),
                 discovery: discovery.clone(),
                 directory: directory.clone(),
                 descriptors: descriptors.clone(),
-                tuning: tuning.clone(),
+                settings: settings.clone(),
             };
-            Some((state::State::new(parts, store, &folder, config.seed)?, folder))
+            Some((state::StoredState::new(parts, store, &folder, config.seed)?, folder))
         }
         None => None,
     };
-    let backend = server::Backend { clock: clock.clone(), tuning: tuning.clone() };
+    let backend = server::Backend { clock: clock.clone(), settings: settings.clone() };
     tokio::task::spawn_local(backend.run(backend_receiver));
     let path = handover::path(config.listen);
     let (listener, successors) = match heritage {
         None => {
             match &state {
-                Some((state, folder)) => state.start(&config.known, folder),
-                None => discovery.start_from(&config.known),
+                Some((state, folder)) => state.start(&config.known_list, folder),
+                None => discovery.start(&config.known_list),
             }
             (listen(&clock, config.listen).await?, handover::listen(&path))
         }
         Some(heritage) => {
-            let (predecessor, link, clients, successors) = heritage.parts();
+            let (predecessor, link, clients, successors) = heritage.into_parts();
             for (server, address) in &predecessor.addresses {
                 directory.insert(*server, *address);
             }
-            discovery.start_from(&predecessor.list);
-            handover.follow(predecessor, link);
+            discovery.start(&predecessor.list);
+            handover.follow_predecessor(predecessor, link);
             (clients, Ok(successors))
         }
     };
     if let Some((state, _)) = state {
-        tokio::task::spawn_local(state.follow());
+        tokio::task::spawn_local(state.run());
     }
     let maintenance =
         maintenance::Maintenance::new(core.clone(), clock.clone(), maintenance::path(config.listen));
-    maintenance.look();
-    let own_socket = handover::lies_there(&path);
+    maintenance.refresh();
+    let own_socket = handover::socket_identity(&path);
     let listener = Rc::new(listener);
     match successors {
         Ok(successors) => {
@@ -251,16 +251,16 @@
     let frontend = Rc::new(frontend::LineFrontend {
         exchange: exchange.clone(),
         clock: clock.clone(),
-        pending_slots: places::Places::new(descriptors.clone(), descriptors::Purpose::Opening),
+        pending_slots: slots::Slots::new(descriptors.clone(), descriptors::Purpose::Pending),
         descriptors,
-        tuning: tuning.clone(),
+        settings: settings.clone(),
         serving: handover.serving.subscribe(),
-        shutting_down: handover.ending.subscribe(),
+        shutting_down: handover.terminating.subscribe(),
         rejected_count: Cell::default(),
     });
-    let leaving = shutdown::Leaving {
+    let shutdown = shutdown::Shutdown {
         clock: &clock,
-        tuning: &tuning,
+        settings: &settings,
         handover: &handover,
         clients: &frontend,
         listener: &listener,
@@ -277,11 +277,11 @@
         () = frontend.clone().adopt(adopted_receiver) => {}
         () = frontend.log_rejected() => {}
         () = exchange.monitor_servers() => {}
-        () = maintenance.follow(), if config.admin.is_some() => {}
-        () = reload::follow(hangup, &config, &tuning, &handover, operators) => {}
-        () = leaving.orderly(term) => {}
+        () = maintenance.watch(), if config.admin.is_some() => {}
+        () = reload::run(hangup, &config, &settings, &handover, operators) => {}
+        () = shutdown.graceful(term) => {}
     }
-    if *handover.serving.borrow() && own_socket == handover::lies_there(&path) {
+    if *handover.serving.borrow() && own_socket == handover::socket_identity(&path) {
         // No successor has taken over or bound a socket of its own there, so the path would be stale.
         let _ = std::fs::remove_file(&path);
     }
