--- a/node/src/exchange/mod.rs
+++ b/node/src/exchange/mod.rs
@@ -667,8 +667,8 @@
     /// Returns which failed attempts to restore a connection of this class may be repeated.
     fn restore_retry(&self, class: &str) -> RestoreRetry {
         let settings = self.settings.current();
-        let number = settings.names.classes.id(class);
-        let class = number.and_then(|number| settings.balancing.classes.get(usize::from(number)));
+        let class_id = settings.names.classes.id(class);
+        let class = class_id.and_then(|class_id| settings.balancing.classes.get(usize::from(class_id)));
         match class.map(|class| class.idempotency) {
             Some(Idempotency::Safe) => RestoreRetry::Always,
             Some(_) | None => RestoreRetry::IfNeverRan,
--- a/node/src/serve.rs
+++ b/node/src/serve.rs
@@ -94,16 +94,16 @@
         Err(_) => env_var("NODE_LISTEN").and_then(|text| text.parse().ok()),
     };
     let handover_path = listen.map(handover::path);
-    let heritage = match &handover_path {
+    let inherited = match &handover_path {
         Some(path) => handover::request(path, &clock).await,
         None => None,
     };
-    let (config, heritage) = match heritage {
+    let (config, inherited) = match inherited {
         None => (configured?, None),
-        Some(heritage) => {
-            let predecessor = &heritage.snapshot;
+        Some(inherited) => {
+            let predecessor = &inherited.snapshot;
             match config::inherit(configured.clone(), &predecessor.config, predecessor.discovery, env_var) {
-                Ok(config) => (config, Some(heritage)),
+                Ok(config) => (config, Some(inherited)),
                 Err(message) => {
                     tracing::warn!("cannot take over from the previous process: {message}");
                     (configured?, None)
@@ -111,7 +111,7 @@
             }
         }
     };
-    let running = run(config, clock, heritage, features, operators.as_deref(), signals);
+    let running = run(config, clock, inherited, features, operators.as_deref(), signals);
     running.await.map_err(|error| error.to_string())
 }
 
@@ -131,7 +131,7 @@
 async fn run(
     config: Config,
     clock: Clock,
-    heritage: Option<Inherited>,
+    inherited: Option<Inherited>,
     features: Features,
     operators: Option<&Path>,
     Signals { term, hangup }: Signals,
@@ -210,7 +210,7 @@
     let backend = server::Backend { clock: clock.clone(), settings: settings.clone() };
     tokio::task::spawn_local(backend.run(backend_receiver));
     let path = handover::path(config.listen);
-    let (listener, successors) = match heritage {
+    let (listener, successors) = match inherited {
         None => {
             match &state {
                 Some((state, folder)) => state.start(&config.known_list, folder),
@@ -218,8 +218,8 @@
             }
             (listen(&clock, config.listen).await?, handover::listen(&path))
         }
-        Some(heritage) => {
-            let (predecessor, link, clients, successors) = heritage.into_parts();
+        Some(inherited) => {
+            let (predecessor, link, clients, successors) = inherited.into_parts();
             for (server, address) in &predecessor.addresses {
                 directory.insert(*server, *address);
             }
--- a/node/tests/failing_calls.rs
+++ b/node/tests/failing_calls.rs
@@ -103,7 +103,7 @@
     let mut node = Node::start(&[&host], 256);
     let mut client = open_before(&node, &host);
     // The first attempt has been given up by then.
-    node.logged("NoConnection");
+    node.logged("symptom: ConnectTimeout");
     host.accept();
     drop(filler);
     comes_up(&host, &mut client);
