--- a/node/src/host/server.rs
+++ b/node/src/backend/server.rs
@@ -1,8 +1,8 @@
 //! The server side: makes attempts and probes at form hosts. Knows nothing of clients.
 
+use crate::backend::backoff::Backoff;
 use crate::exchange::record::{AttemptCause, AttemptEnd, Broken};
 use crate::exchange::{Attempt, AttemptHandle, Order, Pipe, Probe};
-use crate::host::backoff::Backoff;
 use crate::io::clock::{Clock, Millis};
 use crate::io::connect::{ConnectError, connect};
 use crate::io::descriptors::Descriptor;
@@ -160,7 +160,7 @@
         wait_ms: Millis,
         silent: impl FnOnce(),
     ) -> Result<TcpStream, ConnectError> {
-        let usual = self.tuning.current().decisions.limits.connect_timeout_ms;
+        let usual = self.tuning.current().balancing.limits.connect_timeout_ms;
         let connected = connect(&self.clock, address, usual.min(wait_ms)).await;
         // One that was not given the usual time tells nothing.
         if matches!(connected, Err(ConnectError::TimedOut)) && wait_ms >= usual {
--- a/node/src/cli.rs
+++ b/node/src/cli.rs
@@ -151,13 +151,13 @@
 fn check_configuration(name: &str, text: &[u8], json: bool) -> Result<String, String> {
     let variable = |name: &str| (name == "NODE_CONFIG").then(|| name.to_owned());
     let config = crate::operations::config::load(variable, |_| Ok(text.to_vec()))?;
-    let parts = marllink_settings::parts(&config.settings);
+    let parts = marllink_settings::features(&config.settings);
     if json {
         return serde_json::to_string_pretty(&parts).map_err(|e| e.to_string());
     }
     let name_width = parts.iter().map(|part| part.name.len()).max().unwrap_or_default();
-    let line = |part: &marllink_settings::Part| {
-        format!("\n{:name_width$}  {:3}  {}", part.name, if part.on { "on" } else { "off" }, part.why)
+    let line = |part: &marllink_settings::Feature| {
+        format!("\n{:name_width$}  {:3}  {}", part.name, if part.enabled { "on" } else { "off" }, part.reason)
     };
     Ok(format!("{name}: valid") + &parts.iter().map(line).collect::<String>())
 }
@@ -170,7 +170,10 @@
     let name = folder.display();
     let describe = |error: marllink_store::Error| format!("{name}: {error}");
     let found = marllink_store::read(folder).map_err(describe)?;
-    let counts = format!("{} records, {} bytes, {} damaged", found.records, found.bytes, found.damaged);
+    let counts = format!(
+        "{} records, {} bytes, {} damaged",
+        found.record_count, found.total_bytes, found.damaged_bytes
+    );
     match command {
         StateCommand::Show { .. } => {
             let line = |record: &marllink_store::Record| {
@@ -183,15 +186,18 @@
             };
             Ok(format!("{name}: {counts}") + &found.latest.values().map(line).collect::<String>())
         }
-        StateCommand::Check { .. } if found.damaged > 0 => Err(format!("{name}: {counts}")),
+        StateCommand::Check { .. } if found.damaged_bytes > 0 => Err(format!("{name}: {counts}")),
         StateCommand::Check { .. } => Ok(format!("{name}: no damage, {counts}")),
         StateCommand::Export { .. } => serde_json::to_string_pretty(&found.latest).map_err(|e| e.to_string()),
         StateCommand::Compact { .. } => {
-            let disk = marllink_store::FileDisk::take(folder).map_err(describe)?;
-            let mut store = marllink_store::Folder::open(disk).map_err(describe)?;
+            let disk = marllink_store::FileDisk::lock(folder).map_err(describe)?;
+            let mut store = marllink_store::Store::open(disk).map_err(describe)?;
             store.compact().map_err(describe)?;
             let compacted = marllink_store::read(folder).map_err(describe)?;
-            Ok(format!("{name}: {counts}; now {} records, {} bytes", compacted.records, compacted.bytes))
+            Ok(format!(
+                "{name}: {counts}; now {} records, {} bytes",
+                compacted.record_count, compacted.total_bytes
+            ))
         }
     }
 }
--- a/node/src/exchange/holders.rs
+++ b/node/src/exchange/handles.rs
@@ -2,7 +2,7 @@
 
 use super::record::{AttemptEnd, AttemptRecord, EndReason};
 use super::{Cancellation, Entry, Exchange, Phase, Pipe};
-use crate::host::told::{self, Meaning, Seen};
+use crate::backend::load_line::{self, Meaning, Seen};
 use crate::io::clock::Millis;
 use crate::protocol::report::{self, Report};
 use marllink::{AttemptNo, Event, Outcome, RequestId, ServerId, Sign};
@@ -167,12 +167,12 @@
         let (exchange, request) = (&self.exchange, self.id);
         let now = exchange.clock.now();
         pipe.waiting.borrow_mut().heard(now);
-        if exchange.tuning.current().tells_delay {
+        if exchange.tuning.current().servers_report_delay {
             let mut delays = exchange.delays.borrow_mut();
             let (stood_at, load_before) = (pipe.stood_at.get(), pipe.load.get());
             let (delay_at, bound) = (delays.told_at(self.server), delays.bound());
             let seen = Seen { now, stood_at, load: load_before, delay_at, bound };
-            let meaning = told::meaning(load, &seen);
+            let meaning = load_line::meaning(load, &seen);
             if meaning != Meaning::Load {
                 delays.told(self.server, now);
                 drop(delays);
@@ -196,7 +196,7 @@
 
     /// No connection came up in the time for that, and none was refused.
     pub fn no_connection(&self) {
-        self.exchange.core.feed(Event::Silent { server: self.server, sign: Sign::NoConnection });
+        self.exchange.core.feed(Event::Unresponsive { server: self.server, symptom: Sign::NoConnection });
     }
 
     /// One try to restore the connection has failed, and another one follows. To be called once its socket is closed.
@@ -250,7 +250,7 @@
     /// No connection came up in the time for that, and none was refused.
     pub fn no_connection(&self) {
         if let Some(exchange) = self.exchange.upgrade() {
-            exchange.core.feed(Event::Silent { server: self.server, sign: Sign::NoConnection });
+            exchange.core.feed(Event::Unresponsive { server: self.server, symptom: Sign::NoConnection });
         }
     }
 }
--- a/node/src/membership/discovery.rs
+++ b/node/src/membership/discovery.rs
@@ -8,7 +8,7 @@
 //! watch at the start and reopens it whenever it ends.
 
 use crate::core::{Core, Membership};
-use crate::exchange::resume::Resume;
+use crate::exchange::session_driver::SessionDriver;
 use crate::io::clock::{Clock, Millis};
 use crate::io::connect::connect;
 use crate::io::pump;
@@ -55,7 +55,7 @@
     fetch: RefCell<Option<AbortHandle>>,
     watch: RefCell<Option<AbortHandle>>,
     /// The session component, which also needs to know the servers, if sessions are enabled.
-    resume: RefCell<Option<Rc<Resume>>>,
+    resume: RefCell<Option<Rc<SessionDriver>>>,
     /// The observer that keeps the list across restarts, if any, and the time of the last data from the
     /// service.
     observer: RefCell<Option<Rc<dyn ListObserver>>>,
@@ -95,7 +95,7 @@
     }
 
     /// Also reports servers to the session component. Must be called before the first list.
-    pub fn attach_sessions(&self, resume: Rc<Resume>) {
+    pub fn attach_sessions(&self, resume: Rc<SessionDriver>) {
         self.resume.replace(Some(resume));
     }
 
@@ -195,7 +195,7 @@
         }
         if let Some(resume) = self.resume.borrow().as_ref() {
             let entries = self.targets.borrow().values().map(|t| t.session_entry(&self.zones)).collect();
-            resume.listed(entries);
+            resume.servers_changed(entries);
         }
         let entries = list.targets.iter().filter(|t| !withheld(t));
         let entries = entries.map(|t| t.entry(&self.clock, &self.zones)).collect();
--- a/node/src/operations/handover.rs
+++ b/node/src/operations/handover.rs
@@ -6,7 +6,7 @@
 //! processes inform each other of changes over the link.
 
 use crate::core::Core;
-use crate::exchange::{Exchange, Passed, Socket};
+use crate::exchange::{Exchange, HandedOffConnection, HandedOffSocket};
 use crate::io::clock::{Clock, Millis};
 use crate::io::descriptors::Descriptors;
 use crate::io::listener::Listener;
@@ -178,7 +178,7 @@
 /// An outgoing message, and the sockets to send with it, which are closed here afterwards.
 struct Outgoing {
     message: Message,
-    sockets: Vec<Socket>,
+    sockets: Vec<HandedOffSocket>,
 }
 
 impl From<Message> for Outgoing {
@@ -317,8 +317,8 @@
 
     fn update_predecessor(&self, retained: Retained) {
         self.descriptors.reserve_for_predecessor(retained.descriptors);
-        self.exchange.held_elsewhere(retained.ids.clone());
-        self.core.feed(Event::Elsewhere(retained.holdings.clone()));
+        self.exchange.set_predecessor_ids(retained.ids.clone());
+        self.core.feed(Event::PredecessorHoldings(retained.holdings.clone()));
         self.predecessor.replace(retained);
     }
 
@@ -331,7 +331,7 @@
         {
             holding.open = holding.open.saturating_sub(1);
             holding.load -= connection.load;
-            self.core.feed(Event::Elsewhere(predecessor.holdings.clone()));
+            self.core.feed(Event::PredecessorHoldings(predecessor.holdings.clone()));
         }
         drop(predecessor);
         self.exchange.adopt(connection, client, server);
@@ -378,7 +378,7 @@
             tracing::warn!("a successor requested a handover and did not complete it");
             return;
         };
-        tracing::info!(requests = self.exchange.len(), "a successor accepts clients");
+        tracing::info!(requests = self.exchange.request_count(), "a successor accepts clients");
         self.serving.send_replace(false);
         let on_message = |message, _: &mut Link| {
             if let Message::Maintenance { server, begins } = message {
@@ -416,12 +416,12 @@
         let (sender, mut passed) = mpsc::unbounded_channel();
         loop {
             tokio::select! {
-                Some(Passed { connection, sockets }) = passed.recv() => {
+                Some(HandedOffConnection { connection, sockets }) = passed.recv() => {
                     let _ = outgoing.send(Outgoing { message: Message::Connection(connection), sockets: sockets.into() });
                 }
                 () = self.clock.sleep(PASS_INTERVAL_MS) => {
                     if self.shutting_down.get() {
-                        self.exchange.hand_off(PASS_BATCH_COUNT, &sender);
+                        self.exchange.hand_off_idle(PASS_BATCH_COUNT, &sender);
                     }
                 }
             }
--- a/node/src/operations/reload.rs
+++ b/node/src/operations/reload.rs
@@ -49,9 +49,9 @@
                     tracing::warn!("SIGHUP: takes effect only after a restart: {}", restart_only.join(", "));
                 }
                 // There is no await between these calls, so the new settings take effect atomically.
-                settings.replace(config.settings.follow(&settings.current()));
-                handover.exchange.retuned();
-                handover.core.feed(Event::Settings(settings.current().decisions.clone()));
+                settings.replace(config.settings.as_reload_of(&settings.current()));
+                handover.exchange.settings_changed();
+                handover.core.feed(Event::Settings(settings.current().balancing.clone()));
                 handover.discovery.switch_to(config.discovery);
                 handover.config.replace(config.text);
                 apply_features(handover, features);
@@ -63,7 +63,7 @@
 
 /// Applies new session settings and keys from the operators' file.
 fn apply_features(handover: &Handover, features: Features) {
-    match (handover.exchange.resume(), features.operators.sessions, features.keys) {
+    match (handover.exchange.session_driver(), features.operators.sessions, features.keys) {
         (Some(resume), Some(sessions), Some(keys)) => {
             resume.feed(SessionEvent::Settings(sessions.settings()));
             resume.feed(SessionEvent::Keys(keys));
--- a/node/src/operations/shutdown.rs
+++ b/node/src/operations/shutdown.rs
@@ -1,6 +1,6 @@
 //! Graceful shutdown on SIGTERM.
 
-use crate::front::line::Clients;
+use crate::frontend::line::LineFrontend;
 use crate::io::clock::{Clock, Millis};
 use crate::io::descriptors::Purpose;
 use crate::io::listener::Listener;
@@ -33,7 +33,7 @@
     /// The connections, and whether there is a successor.
     pub handover: &'a Handover,
     /// Clients that have not sent a request yet.
-    pub clients: &'a Rc<Clients>,
+    pub clients: &'a Rc<LineFrontend>,
     /// The socket on which clients arrive.
     pub listener: &'a Listener,
 }
@@ -46,10 +46,10 @@
         let (clock, handover) = (self.clock, self.handover);
         handover.shutting_down.set(true);
         let started_at = clock.now();
-        let ending = Ending::within(self.settings.current().longest_deadline_ms);
+        let ending = Ending::within(self.settings.current().max_deadline_ms);
         let mut serving = handover.serving.subscribe();
         tracing::info!(
-            requests = handover.exchange.len(),
+            requests = handover.exchange.request_count(),
             killed_after_ms = ending.killed_at,
             "SIGTERM: serving new connections, then moving all"
         );
@@ -63,7 +63,11 @@
             () = self.until_empty() => {}
             () = self.move_connections(from, until, leave_at) => {}
         }
-        tracing::info!(requests = handover.exchange.len(), openings = self.pending_connections(), "exiting");
+        tracing::info!(
+            requests = handover.exchange.request_count(),
+            openings = self.pending_connections(),
+            "exiting"
+        );
     }
 
     /// Moves the established connections at an even rate between `from` and `until`, then ends everything
@@ -78,8 +82,9 @@
             let remaining = until - clock.now();
             // Fractions accumulate: moving at least one connection per tick would move a small number of them
             // all at once.
-            quota += exchange.standing() as f64 * if remaining > TICK_MS { TICK_MS / remaining } else { 1.0 };
-            exchange.move_some(quota as usize);
+            quota += exchange.established_count() as f64
+                * if remaining > TICK_MS { TICK_MS / remaining } else { 1.0 };
+            exchange.move_oldest(quota as usize);
             quota = quota.fract();
             if remaining <= 0.0 {
                 final_answer_at = final_answer_at.min(clock.now());
@@ -88,7 +93,7 @@
                 self.handover
                     .terminating
                     .send_if_modified(|terminating| !std::mem::replace(terminating, true));
-                exchange.answer_all();
+                exchange.answer_all_waiting();
             }
             clock.sleep(TICK_MS).await;
         }
@@ -101,9 +106,9 @@
             self.clock.sleep(TICK_MS).await;
             // On an overloaded machine, clients may be in the accept queue before the event loop reports
             // them.
-            let accepted = *self.handover.serving.borrow() && self.clients.accept_waiting(self.listener);
+            let accepted = *self.handover.serving.borrow() && self.clients.accept_pending(self.listener);
             let remaining = self.pending_connections() + self.handover.descriptors.in_use(Purpose::Served);
-            if !accepted && remaining + self.handover.exchange.len() == 0 {
+            if !accepted && remaining + self.handover.exchange.request_count() == 0 {
                 return;
             }
         }
--- a/node/src/operations/state.rs
+++ b/node/src/operations/state.rs
@@ -73,11 +73,11 @@
             return None;
         }
     };
-    if found.damaged > 0 {
+    if found.damaged_bytes > 0 {
         tracing::warn!(
             "the store {}: {} bytes are damaged; the rest is used",
             folder.display(),
-            found.damaged
+            found.damaged_bytes
         );
     }
     let record = found.latest.get(LIST_RECORD)?;
@@ -128,7 +128,8 @@
             Err(error) => tracing::warn!("the store {shown}: {error}; continuing without it"),
         })?;
         let trusted_ms = f64::from(store.trusted_s) * 1_000.0;
-        let limits = Limits { trusted_ms, at_once: usize::from(store.asked_at_once), ..Limits::default() };
+        let limits =
+            Limits { trusted_ms, at_once: usize::from(store.concurrent_probes), ..Limits::default() };
         let recovery = RefCell::new(Recovery::new(limits, seed, dependencies.clock.now()));
         let (stored_at, changed) = (Cell::new(f64::MIN), Notify::new());
         let this = Rc::new_cyclic(|weak_self| Self {
@@ -173,10 +174,10 @@
     pub async fn run(self: Rc<Self>) {
         let this = self.clone();
         tokio::task::spawn_local(async move {
-            this.dependencies.core.served().await;
+            this.dependencies.core.connection_established().await;
             // Requests served before the list is confirmed don't count as service.
             while this.recovery.borrow().phase() < Phase::Listed {
-                this.dependencies.core.served().await;
+                this.dependencies.core.connection_established().await;
             }
             this.handle(Event::Served);
         });
@@ -204,7 +205,7 @@
         self.stored_at.set(self.dependencies.clock.now());
         let stored = StoredList { discovery: self.dependencies.discovery.address(), list: list.clone() };
         match serde_json::to_value(stored) {
-            Ok(body) => self.writer.keep(Record {
+            Ok(body) => self.writer.put(Record {
                 name: LIST_RECORD.into(),
                 at: self.dependencies.clock.unix_ms(),
                 body,
@@ -266,7 +267,7 @@
         let Ok(stream) = connect(&self.dependencies.clock, address, PROBE_TIMEOUT_MS).await else {
             return false;
         };
-        if !self.dependencies.settings.current().decisions.limits.probe {
+        if !self.dependencies.settings.current().balancing.limits.probe {
             return true;
         }
         let mut answer = Vec::new();
--- a/node/src/protocol/handover.rs
+++ b/node/src/protocol/handover.rs
@@ -1,7 +1,7 @@
 //! Messages between a process and its successor: JSON, one value per line.
 
 use super::discovery::List;
-use marllink::{Holding, Knowledge, ServerId};
+use marllink::{Holding, LearnedState, ServerId};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -32,7 +32,7 @@
     pub addresses: Vec<(ServerId, SocketAddr)>,
     /// The state of the decision logic. The rest of the snapshot is valid even if this can't be decoded.
     #[serde(deserialize_with = "knowledge_or_none")]
-    pub knowledge: Option<Knowledge>,
+    pub knowledge: Option<LearnedState>,
     /// The resources that the predecessor retains.
     #[serde(rename = "holds")]
     pub retained: Retained,
@@ -40,7 +40,7 @@
 
 /// A single accept queue and surviving connections matter more than this knowledge: if it can't be decoded,
 /// for example because a number is not finite, it is dropped and the handover continues.
-fn knowledge_or_none<'a, D: serde::Deserializer<'a>>(from: D) -> Result<Option<Knowledge>, D::Error> {
+fn knowledge_or_none<'a, D: serde::Deserializer<'a>>(from: D) -> Result<Option<LearnedState>, D::Error> {
     let read = serde_json::from_value(serde_json::Value::deserialize(from)?);
     Ok(read.inspect_err(|e| tracing::warn!("cannot decode the predecessor's state: {e}")).ok())
 }
@@ -127,8 +127,9 @@
 
     #[test]
     fn a_snapshot_survives_a_round_trip_and_malformed_ones_are_rejected() {
-        let mut knowledge = Knowledge { out: vec![ServerId(u64::MAX)], ..Knowledge::default() };
-        knowledge.servers.push((ServerId(1), marllink::Track::default()));
+        let mut knowledge =
+            LearnedState { in_maintenance: vec![ServerId(u64::MAX)], ..LearnedState::default() };
+        knowledge.servers.push((ServerId(1), marllink::ServerHistory::default()));
         let list = List { rev: 4, all: true, targets: Vec::new() };
         let address = SocketAddr::from(([127, 0, 0, 1], 8000));
         let mut sent = Snapshot {
@@ -148,7 +149,7 @@
         }
         // A number that is not finite only costs the decision logic's state.
         let servers = &mut sent.knowledge.as_mut().expect("the knowledge is present").servers;
-        servers[0].1.failed_at = f64::INFINITY;
+        servers[0].1.last_failure_at = f64::INFINITY;
         let rest = decode_snapshot(&encode(&sent)).expect("the rest is valid");
         assert_eq!(rest.knowledge, None);
         assert_eq!((rest.addresses, rest.retained), (sent.addresses.clone(), sent.retained.clone()));
