--- a/node/src/exchange/mod.rs
+++ b/node/src/exchange/mod.rs
@@ -24,7 +24,9 @@
 use crate::protocol::session::{self, FromClient};
 pub use commands::{Adopted, Attempt, Order, Probe, Restores};
 pub use handles::{AttemptHandle, ProbeResult, RequestHandle};
-use marllink::{AttemptNo, ClassId, Effect, Event, NewRequest, Outcome, RequestId, ServerId, Sign, TenantId};
+use marllink::{
+    AttemptNo, ClassId, Event, Idempotency, NewRequest, Outcome, RequestId, ServerId, Symptom, TenantId,
+};
 use marllink_sessions::{Ask, Event as SessionEvent};
 use pipe::Handoff;
 pub use pipe::{HandedOffConnection, HandedOffSocket, Pipe};
@@ -297,7 +299,7 @@
         let owing: BTreeSet<_> = owing.collect();
         drop(entries);
         for server in owing {
-            self.core.feed(Event::Unresponsive { server, symptom: Sign::Unanswered });
+            self.core.feed(Event::Unresponsive { server, symptom: Symptom::OverdueReply });
         }
     }
 
@@ -631,7 +633,7 @@
         let number = settings.names.classes.id(class);
         let class = number.and_then(|number| settings.balancing.classes.get(usize::from(number)));
         match class.map(|class| class.idempotency) {
-            Some(Effect::Safe) => Restores::Always,
+            Some(Idempotency::Safe) => Restores::Always,
             Some(_) | None => Restores::IfNeverRan,
         }
     }
--- a/node/src/membership/discovery.rs
+++ b/node/src/membership/discovery.rs
@@ -16,7 +16,9 @@
 use crate::protocol::discovery::{self as syntax, List, Target, WatchItem};
 use crate::protocol::http::{self, Parsed};
 use marllink::{Event, ListKind, ServerId};
-use marllink_rate_limits::calls::{ANSWER_MS, BUSY_MS, CONNECT_MS, SILENT_MS};
+use marllink_rate_limits::discovery_calls::{
+    CONNECT_TIMEOUT_MS, OVERLOADED_RESPONSE_TIMEOUT_MS, RESPONSE_TIMEOUT_MS, WATCH_TIMEOUT_MS,
+};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -219,11 +221,11 @@
     /// time.
     async fn call(&self, path: &str) -> Result<Body, String> {
         let address = self.address.get();
-        let stream = connect(&self.clock, address, CONNECT_MS).await.map_err(|e| e.to_string())?;
+        let stream = connect(&self.clock, address, CONNECT_TIMEOUT_MS).await.map_err(|e| e.to_string())?;
         let answer_timeout_ms = match (self.push_mode, self.busy.replace(true)) {
             (true, _) => PUSH_AGENT_ANSWER_MS,
-            (false, false) => ANSWER_MS,
-            (false, true) => BUSY_MS,
+            (false, false) => RESPONSE_TIMEOUT_MS,
+            (false, true) => OVERLOADED_RESPONSE_TIMEOUT_MS,
         };
         let body = self
             .clock
@@ -238,7 +240,7 @@
     async fn fetch_list(&self) -> Result<(), String> {
         let rev_before = self.rev.get();
         let mut body = self.call("/catalog/members").await?;
-        let read = self.clock.within(ANSWER_MS, body.read_all()).await;
+        let read = self.clock.within(RESPONSE_TIMEOUT_MS, body.read_all()).await;
         read.unwrap_or_else(|| Err("the list did not arrive completely in time".into()))?;
         let list = syntax::parse_list(&body.decoded).ok_or("malformed list")?;
         // The watch may have delivered later changes in the meantime.
@@ -268,7 +270,7 @@
             }
             body.scanned = body.decoded.len();
             let received =
-                self.clock.within(progress_at + SILENT_MS - self.clock.now(), body.read_some()).await;
+                self.clock.within(progress_at + WATCH_TIMEOUT_MS - self.clock.now(), body.read_some()).await;
             if !received.ok_or("no data in time")?? {
                 return Err("the watch was closed".into());
             }
--- a/node/src/operations/shutdown.rs
+++ b/node/src/operations/shutdown.rs
@@ -6,7 +6,7 @@
 use crate::io::listener::Listener;
 use crate::operations::active_settings::ActiveSettings;
 use crate::operations::handover::Handover;
-use marllink_rate_limits::ending::Ending;
+use marllink_rate_limits::shutdown::ShutdownSchedule;
 use std::rc::Rc;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
@@ -46,19 +46,20 @@
         let (clock, handover) = (self.clock, self.handover);
         handover.shutting_down.set(true);
         let started_at = clock.now();
-        let ending = Ending::within(self.settings.current().max_deadline_ms);
+        let ending = ShutdownSchedule::for_deadline(self.settings.current().max_deadline_ms);
         let mut serving = handover.serving.subscribe();
         tracing::info!(
             requests = handover.exchange.request_count(),
-            killed_after_ms = ending.killed_at,
+            killed_after_ms = ending.kill_at,
             "SIGTERM: serving new connections, then moving all"
         );
         // A successor may start to accept clients at this very moment.
         let has_successor = serving.wait_for(|serving| !*serving);
         let has_successor = clock.within(ending.serve_until, has_successor).await.is_some();
-        let hand_over_until = if has_successor { clock.now() - started_at + ending.pass_until } else { 0.0 };
+        let hand_over_until =
+            if has_successor { clock.now() - started_at + ending.handover_until } else { 0.0 };
         let [from, until, leave_at] =
-            [hand_over_until, ending.answer_at, ending.leave_at].map(|after| started_at + after);
+            [hand_over_until, ending.answer_pending_at, ending.exit_at].map(|after| started_at + after);
         tokio::select! {
             () = self.until_empty() => {}
             () = self.move_connections(from, until, leave_at) => {}
--- a/node/src/operations/state.rs
+++ b/node/src/operations/state.rs
@@ -128,8 +128,11 @@
             Err(error) => tracing::warn!("the store {shown}: {error}; continuing without it"),
         })?;
         let trusted_ms = f64::from(store.trusted_s) * 1_000.0;
-        let limits =
-            Limits { trusted_ms, at_once: usize::from(store.concurrent_probes), ..Limits::default() };
+        let limits = Limits {
+            trusted_age_ms: trusted_ms,
+            max_in_flight: usize::from(store.concurrent_probes),
+            ..Limits::default()
+        };
         let recovery = RefCell::new(Recovery::new(limits, seed, dependencies.clock.now()));
         let (stored_at, changed) = (Cell::new(f64::MIN), Notify::new());
         let this = Rc::new_cyclic(|weak_self| Self {
@@ -151,7 +154,7 @@
         let (list, age_ms) = choose_list(known, discovery.address(), read(folder), clock.unix_ms());
         let serving = list.targets.iter().filter(|t| t.is_serving()).map(|t| t.server()).collect();
         let mut commands = Vec::new();
-        self.recovery.borrow_mut().begin(clock.now(), age_ms, serving, &mut commands);
+        self.recovery.borrow_mut().start(clock.now(), age_ms, serving, &mut commands);
         let admitted: HashSet<_> = commands
             .iter()
             .filter_map(|c| if let Command::Admit(server) = c { Some(*server) } else { None })
@@ -176,14 +179,14 @@
         tokio::task::spawn_local(async move {
             this.dependencies.core.connection_established().await;
             // Requests served before the list is confirmed don't count as service.
-            while this.recovery.borrow().phase() < Phase::Listed {
+            while this.recovery.borrow().phase() < Phase::ListTrusted {
                 this.dependencies.core.connection_established().await;
             }
-            this.handle(Event::Served);
+            this.handle(Event::ConnectionEstablished);
         });
         loop {
             let now = self.dependencies.clock.now();
-            let due_at = self.recovery.borrow().due();
+            let due_at = self.recovery.borrow().next_timeout();
             let wait = due_at
                 .map_or(self.trusted_ms / 4.0, |due_at| (due_at - now).clamp(1.0, self.trusted_ms / 4.0));
             let changed = self.changed.notified();
@@ -192,7 +195,7 @@
                 () = changed => {}
             }
             if due_at.is_some_and(|due_at| due_at <= self.dependencies.clock.now()) {
-                self.step(Event::Due);
+                self.step(Event::Timeout);
             }
             let last_contact_at = self.dependencies.discovery.last_contact_at();
             if last_contact_at > self.stored_at.get() + self.trusted_ms / 4.0 {
@@ -236,10 +239,10 @@
         }
         for command in commands {
             match command {
-                Command::Ask(server) => self.probe(server),
-                Command::Phase(phase) => {
+                Command::Probe(server) => self.probe(server),
+                Command::PhaseChanged(phase) => {
                     let recovery = self.recovery.borrow();
-                    let elapsed_ms = recovery.spent().last().map_or(0.0, |spent| spent.1);
+                    let elapsed_ms = recovery.phase_durations().last().map_or(0.0, |spent| spent.1);
                     tracing::info!("phase {}, after {elapsed_ms:.0} ms", phase.name());
                 }
                 Command::Admit(_) => {}
@@ -256,7 +259,7 @@
                 .within(PROBE_TIMEOUT_MS, this.responds(server))
                 .await
                 .unwrap_or(false);
-            this.handle(Event::Answered { host: server, there: responsive });
+            this.handle(Event::ProbeCompleted { server, reachable: responsive });
         });
     }
 
@@ -289,7 +292,7 @@
         // Discovery is still processing the list; the recovery's commands for the decision logic follow
         // afterwards.
         let Some(this) = self.weak_self.upgrade() else { return };
-        tokio::task::spawn_local(async move { this.handle(Event::Listed) });
+        tokio::task::spawn_local(async move { this.handle(Event::ListReceived) });
     }
 }
 
--- a/src/decide/succession.rs
+++ b/src/decide/succession.rs
@@ -19,7 +19,7 @@
             in_maintenance: out,
             returned: back,
             fleet,
-            reported_loads: self.reports.told(self.now),
+            reported_loads: self.reports.recent_reports(self.now),
         }
     }
 
@@ -27,8 +27,11 @@
     pub(super) fn take_over(&mut self, knowledge: LearnedState) {
         let by = self.now - knowledge.now;
         self.fleet = knowledge.fleet.shifted(by);
-        self.retries.take_over(self.now, self.fleet.limiter_counts);
-        knowledge.reported_loads.into_iter().for_each(|(id, at, told)| self.reports.learn(at + by, id, told));
+        self.retries.restore(self.now, self.fleet.limiter_counts);
+        knowledge
+            .reported_loads
+            .into_iter()
+            .for_each(|(id, at, told)| self.reports.restore(at + by, id, told));
         self.out.extend(knowledge.in_maintenance);
         self.back.extend(knowledge.returned);
         for (id, track) in knowledge.servers {
