--- a/node/src/io/descriptors.rs
+++ b/node/src/io/descriptors.rs
@@ -73,7 +73,7 @@
             };
         }
         let limit = self.limit.saturating_sub(self.predecessor_reserve.get());
-        // At least one, as otherwise no connection could even be rejected.
+        // At least one connection may be pending, as otherwise none could even be rejected.
         let admin = self.admin_capacity();
         let available = limit.saturating_sub(PROCESS_RESERVE_COUNT + admin);
         let pending = ((available as f64 * PENDING_RATIO) as usize).max(1);
--- a/node/src/operations/config.rs
+++ b/node/src/operations/config.rs
@@ -76,11 +76,11 @@
 pub fn reload(
     variable: impl Fn(&str) -> Option<String>,
     read: impl Fn(&str) -> std::io::Result<Vec<u8>>,
-    in_force: &str,
+    active_text: &str,
 ) -> Result<Config, String> {
     let config = load_with(variable, read, true)?;
     let value = |text: &str| serde_json::from_str::<serde_json::Value>(text).map_err(|e| e.to_string());
-    marllink_settings::check_keys_present(&value(in_force)?, &value(&config.text)?)?;
+    marllink_settings::check_keys_present(&value(active_text)?, &value(&config.text)?)?;
     Ok(config)
 }
 
@@ -96,13 +96,13 @@
     discovery: SocketAddr,
     variable: impl Fn(&str) -> Option<String>,
 ) -> Result<Config, String> {
-    let in_force = load_with(variable, |_| Ok(text.as_bytes().to_vec()), true)?;
+    let active = load_with(variable, |_| Ok(text.as_bytes().to_vec()), true)?;
     let configured = configured.unwrap_or_else(|message| {
         tracing::error!("keeping the configuration of the predecessor: {message}");
         // The predecessor's random numbers must not be repeated.
-        Config { seed: in_force.seed.wrapping_add(1), ..in_force.clone() }
+        Config { seed: active.seed.wrapping_add(1), ..active.clone() }
     });
-    Ok(Config { discovery, settings: in_force.settings, text: in_force.text, ..configured })
+    Ok(Config { discovery, settings: active.settings, text: active.text, ..configured })
 }
 
 impl Config {
--- a/node/src/operations/handover.rs
+++ b/node/src/operations/handover.rs
@@ -82,7 +82,7 @@
 }
 
 async fn receive(link: UnixStream) -> io::Result<Inherited> {
-    let mut link = Link { stream: Rc::new(link), read: Vec::new(), sockets: VecDeque::new() };
+    let mut link = Link { stream: Rc::new(link), buffer: Vec::new(), sockets: VecDeque::new() };
     send(&link.stream, &syntax::encode(&Hello { version: VERSION }), &[]).await?;
     let line = link.line().await?;
     let snapshot = syntax::decode_snapshot(&line).map_err(|reason| {
@@ -99,7 +99,7 @@
 /// One end of a link: lines, and the sockets that arrived with them.
 pub struct Link {
     stream: Rc<UnixStream>,
-    read: Vec<u8>,
+    buffer: Vec<u8>,
     sockets: VecDeque<OwnedFd>,
 }
 
@@ -108,10 +108,10 @@
     async fn line(&mut self) -> io::Result<Vec<u8>> {
         let mut scanned = 0;
         loop {
-            if let Some(end) = self.read[scanned..].iter().position(|b| *b == b'\n') {
-                return Ok(self.read.drain(..=scanned + end).collect());
+            if let Some(end) = self.buffer[scanned..].iter().position(|b| *b == b'\n') {
+                return Ok(self.buffer.drain(..=scanned + end).collect());
             }
-            scanned = self.read.len();
+            scanned = self.buffer.len();
             if scanned > MAX_LINE_BYTES {
                 return Err(io::Error::other("the line exceeds the size limit"));
             }
@@ -125,7 +125,7 @@
             });
             match received {
                 Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
-                Ok(received) => self.read.extend_from_slice(&bytes[..received]),
+                Ok(received) => self.buffer.extend_from_slice(&bytes[..received]),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => continue,
                 Err(e) => return Err(e),
             }
@@ -361,7 +361,7 @@
 
     async fn hand_over(&self, link: UnixStream, clients: &Listener, successors: &UnixListener) {
         let (outgoing, messages) = mpsc::unbounded_channel();
-        let mut link = Link { stream: Rc::new(link), read: Vec::new(), sockets: VecDeque::new() };
+        let mut link = Link { stream: Rc::new(link), buffer: Vec::new(), sockets: VecDeque::new() };
         let writer = link.stream.clone();
         let negotiation = async {
             let hello = link.line().await.ok()?;
