--- a/node/src/operations/reload.rs
+++ b/node/src/operations/reload.rs
@@ -38,9 +38,9 @@
         let variable = |name: &str| std::env::var(name).ok();
         let path = variable(config::PATH_VARIABLE).unwrap_or_default();
         let text = file::read_with_retries(&handover.clock, Path::new(&path)).await;
-        let in_force = handover.config.borrow().clone();
+        let active_text = handover.config.borrow().clone();
         let text = |_: &str| text.as_ref().map(Clone::clone).map_err(config::clone_error);
-        let reloaded = config::reload(variable, text, &in_force);
+        let reloaded = config::reload(variable, text, &active_text);
         match reloaded {
             Ok(config) => {
                 tracing::info!("SIGHUP: new settings, discovery at {}", config.discovery);
@@ -64,9 +64,9 @@
 /// Applies new session settings and keys from the operators' file.
 fn apply_features(handover: &Handover, features: Features) {
     match (handover.exchange.session_driver(), features.operators.sessions, features.keys) {
-        (Some(resume), Some(sessions), Some(keys)) => {
-            resume.feed(SessionEvent::Settings(sessions.settings()));
-            resume.feed(SessionEvent::Keys(keys));
+        (Some(driver), Some(sessions), Some(keys)) => {
+            driver.feed(SessionEvent::Settings(sessions.settings()));
+            driver.feed(SessionEvent::Keys(keys));
         }
         (None, None, _) => {}
         _ => tracing::warn!("SIGHUP: takes effect only after a restart: enabling or disabling sessions"),
--- a/node/src/operations/state.rs
+++ b/node/src/operations/state.rs
@@ -259,7 +259,7 @@
                 .within(PROBE_TIMEOUT_MS, this.responds(server))
                 .await
                 .unwrap_or(false);
-            this.handle(Event::ProbeCompleted { server: server, reachable: responsive });
+            this.handle(Event::ProbeCompleted { server, reachable: responsive });
         });
     }
 
