--- a/node/src/io/clock.rs
+++ b/node/src/io/clock.rs
@@ -63,7 +63,7 @@
 
     /// Converts a Unix time to this clock's time line; 0, which stands for "long ago", stays 0. The result
     /// for a given Unix time never changes; otherwise a server would appear to restart with each list.
-    pub fn from_unix(&self, unix_ms: Millis) -> Millis {
+    pub fn unix_to_clock(&self, unix_ms: Millis) -> Millis {
         let unix_origin_ms = match &*self.0 {
             Source::System { unix_origin_ms, .. } => *unix_origin_ms,
             #[cfg(test)]
@@ -115,10 +115,10 @@
     #[test]
     fn a_server_that_started_before_the_program_keeps_its_start_time() {
         let clock = Clock::manual();
-        assert_eq!(clock.from_unix(0.0), 0.0);
-        let started = clock.from_unix(1_000_000_000.0 - 2_500.0);
+        assert_eq!(clock.unix_to_clock(0.0), 0.0);
+        let started = clock.unix_to_clock(1_000_000_000.0 - 2_500.0);
         assert_eq!(clock.now() - started, 2_500.0);
-        assert_eq!(clock.from_unix(1.0), 0.0);
+        assert_eq!(clock.unix_to_clock(1.0), 0.0);
     }
 
     #[tokio::test(flavor = "current_thread")]
--- a/node/src/protocol/discovery.rs
+++ b/node/src/protocol/discovery.rs
@@ -90,7 +90,7 @@
                 State::Deleted => ServerState::Gone,
             },
             weight: self.capacity_hint,
-            started_at: clock.from_unix(self.boot_ms),
+            started_at: clock.unix_to_clock(self.boot_ms),
         }
     }
 }
