--- a/affinity/src/lib.rs
+++ b/affinity/src/lib.rs
@@ -60,8 +60,8 @@
 
     #[test]
     fn groups_are_spread_over_servers_by_weight() {
-        let servers: Vec<_> = (1..=10).map(|h| (h, if h <= 2 { 4.0 } else { 1.0 })).collect();
-        let heavy = (0..20_000).filter(|g| top(g * 7_919, &servers, 1)[0] <= 2).count();
+        let servers: Vec<_> = (1..=10).map(|number| (number, if number <= 2 { 4.0 } else { 1.0 })).collect();
+        let heavy = (0..20_000).filter(|group| top(group * 7_919, &servers, 1)[0] <= 2).count();
         // Two servers have half of the total weight.
         assert!((9_600..10_400).contains(&heavy), "{heavy}");
     }
@@ -77,7 +77,7 @@
         fn removing_a_server_moves_only_the_groups_that_used_it(
             group in any::<u64>(), removed_index in 0usize..12, shift in 0usize..12
         ) {
-            let mut servers: Vec<_> = (0..12u64).map(|h| (h * 977 + 3, 1.0 + (h % 3) as f64)).collect();
+            let mut servers: Vec<_> = (0..12u64).map(|n| (n * 977 + 3, 1.0 + (n % 3) as f64)).collect();
             let before = top(group, &servers, 3);
             let removed = servers.remove(removed_index).0;
             // The order of the list must not matter either.
--- a/rate-limits/src/discovery_calls.rs
+++ b/rate-limits/src/discovery_calls.rs
@@ -27,7 +27,7 @@
 pub const MAX_PROPAGATION_MS: Millis = 6_000.0;
 /// Time after which discovery drops a call that is still queued.
 pub const QUEUE_TIMEOUT_MS: Millis = 2_000.0;
-/// Upper bound of the queue timeout of a discovery service with a longer one.
+/// Longest queue timeout of a discovery service for which [`RESPONSE_TIMEOUT_MS`] is sufficient.
 pub const MAX_QUEUE_TIMEOUT_MS: Millis = 3_000.0;
 /// Maximum time to wait for a connection to discovery.
 pub const CONNECT_TIMEOUT_MS: Millis = 1_500.0;
--- a/recovery/src/lib.rs
+++ b/recovery/src/lib.rs
@@ -105,14 +105,15 @@
     PhaseChanged(Phase),
 }
 
+/// Verification state of one server.
 #[derive(Clone, Debug)]
-enum State {
+enum ProbeState {
     Waiting { probe_at: Millis },
     Probing { deadline: Millis },
     Admitted,
 }
 
-/// State of the startup of one process.
+/// ProbeState of the startup of one process.
 #[derive(Clone, Debug)]
 pub struct Recovery<S> {
     limits: Limits,
@@ -121,7 +122,7 @@
     phase_started_at: Millis,
     phase_durations: Vec<(Phase, Millis)>,
     /// The unverified servers, each with its state and the number of failed probes.
-    servers: Vec<(S, State, u32)>,
+    servers: Vec<(S, ProbeState, u32)>,
 }
 
 impl<S: Copy + PartialEq> Recovery<S> {
@@ -159,7 +160,7 @@
             return;
         }
         self.servers =
-            servers.into_iter().map(|server| (server, State::Waiting { probe_at: now }, 0)).collect();
+            servers.into_iter().map(|server| (server, ProbeState::Waiting { probe_at: now }, 0)).collect();
         for at in (1..self.servers.len()).rev() {
             let other = (self.rng.next_u64() % (at as u64 + 1)) as usize;
             self.servers.swap(at, other);
@@ -173,7 +174,7 @@
         match event {
             Event::ListReceived => {
                 // Servers that discovery has not changed are as they were listed.
-                let unverified = self.servers.drain(..).filter(|s| !matches!(s.1, State::Admitted));
+                let unverified = self.servers.drain(..).filter(|s| !matches!(s.1, ProbeState::Admitted));
                 commands.extend(unverified.map(|s| Command::Admit(s.0)));
                 self.enter(now, Phase::ListTrusted, commands);
             }
@@ -182,22 +183,23 @@
             }
             Event::ProbeCompleted { server, reachable } => {
                 let Some((_, state, _)) = self.servers.iter_mut().find(|s| s.0 == server) else { return };
-                if !matches!(state, State::Probing { .. }) {
+                if !matches!(state, ProbeState::Probing { .. }) {
                     return;
                 }
                 if reachable {
-                    *state = State::Admitted;
+                    *state = ProbeState::Admitted;
                     commands.push(Command::Admit(server));
                 } else {
                     self.record_failure(now, server);
                 }
-                if self.servers.iter().all(|s| matches!(s.1, State::Admitted)) {
+                if self.servers.iter().all(|s| matches!(s.1, ProbeState::Admitted)) {
                     self.enter(now, Phase::ListTrusted, commands);
                 }
             }
             Event::Timeout | Event::ConnectionEstablished => {}
         }
-        let timed_out = |s: &&(S, State, u32)| matches!(s.1, State::Probing { deadline } if deadline <= now);
+        let timed_out =
+            |s: &&(S, ProbeState, u32)| matches!(s.1, ProbeState::Probing { deadline } if deadline <= now);
         let timed_out: Vec<_> = self.servers.iter().filter(timed_out).map(|s| s.0).collect();
         timed_out.into_iter().for_each(|server| self.record_failure(now, server));
         self.probe_waiting(now, commands);
@@ -208,17 +210,17 @@
         if let Some((_, state, failures)) = self.servers.iter_mut().find(|s| s.0 == server) {
             let delay_ms = self.limits.retry_delay_ms * f64::from(1u32 << (*failures).min(4));
             *failures += 1;
-            *state = State::Waiting { probe_at: now + delay_ms * jitter };
+            *state = ProbeState::Waiting { probe_at: now + delay_ms * jitter };
         }
     }
 
     fn probe_waiting(&mut self, now: Millis, commands: &mut Vec<Command<S>>) {
-        let mut in_flight = self.servers.iter().filter(|s| matches!(s.1, State::Probing { .. })).count();
+        let mut in_flight = self.servers.iter().filter(|s| matches!(s.1, ProbeState::Probing { .. })).count();
         for (server, state, _) in &mut self.servers {
             if in_flight < self.limits.max_in_flight
-                && matches!(state, State::Waiting { probe_at } if *probe_at <= now)
+                && matches!(state, ProbeState::Waiting { probe_at } if *probe_at <= now)
             {
-                *state = State::Probing { deadline: now + self.limits.probe_timeout_ms };
+                *state = ProbeState::Probing { deadline: now + self.limits.probe_timeout_ms };
                 commands.push(Command::Probe(*server));
                 in_flight += 1;
             }
@@ -237,12 +239,12 @@
     /// When [`Event::Timeout`] is due; `None` if nothing is pending.
     #[must_use]
     pub fn next_timeout(&self) -> Option<Millis> {
-        let at_limit = self.servers.iter().filter(|s| matches!(s.1, State::Probing { .. })).count()
+        let at_limit = self.servers.iter().filter(|s| matches!(s.1, ProbeState::Probing { .. })).count()
             >= self.limits.max_in_flight;
         let times = self.servers.iter().filter_map(|(_, state, _)| match state {
-            State::Probing { deadline } => Some(*deadline),
-            State::Waiting { probe_at } if !at_limit => Some(*probe_at),
-            State::Waiting { .. } | State::Admitted => None,
+            ProbeState::Probing { deadline } => Some(*deadline),
+            ProbeState::Waiting { probe_at } if !at_limit => Some(*probe_at),
+            ProbeState::Waiting { .. } | ProbeState::Admitted => None,
         });
         times.min_by(f64::total_cmp)
     }
