--- a/node/src/backend/lease_link.rs
+++ b/node/src/backend/lease_link.rs
@@ -4,7 +4,7 @@
 use crate::io::clock::{Clock, Millis};
 use crate::io::connect::connect;
 use crate::io::descriptors::Descriptor;
-use crate::io::pump::{self, Between};
+use crate::io::pump::{self, InterleavedLines};
 use marllink::ServerId;
 use marllink_sessions::Event;
 use marllink_sessions::keep::{self, FrameReader, Reply};
@@ -22,7 +22,7 @@
     server: ServerId,
     address: SocketAddr,
     owner: u64,
-    words: Rc<Between>,
+    words: Rc<InterleavedLines>,
     descriptor: Descriptor,
 ) {
     let reason = match clock.within(LINK_MS, greet(&clock, address, owner)).await {
@@ -91,9 +91,9 @@
     }
 }
 
-async fn say(stream: &TcpStream, words: Rc<Between>) -> String {
+async fn say(stream: &TcpStream, words: Rc<InterleavedLines>) -> String {
     loop {
-        words.some().await;
+        words.wait_for_lines().await;
         let bytes = words.take();
         if let Err(error) = pump::write_all(stream, &bytes).await {
             return error.to_string();
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -292,10 +292,10 @@
     let servers_report_delay = boot.specifics.tells_delay;
     let aims = &boot.specifics.message_aim_ms;
     let classes = boot.classes.iter().enumerate().map(|(i, c)| Class {
-        aim_ms: c.goal_time_ms,
-        effect: effect(c),
-        worth: c.importance,
-        message_aim_ms: aims.get(i).copied().unwrap_or(0.0),
+        setup_goal_ms: c.goal_time_ms,
+        idempotency: effect(c),
+        value: c.importance,
+        message_goal_ms: aims.get(i).copied().unwrap_or(0.0),
     });
     let fields = boot.load_report.fields.iter().map(|f| match f.as_str() {
         "rif" => ReportField::InFlight,
@@ -313,11 +313,11 @@
         nodes: boot.balancers,
         zone: ZoneId(boot.zone),
         zones: boot.azs.len().min(255) as u8,
-        discovery: if boot.discovery == "pushed" { Discovery::Push } else { Discovery::Ask },
+        discovery: if boot.discovery == "pushed" { Discovery::Push } else { Discovery::Pull },
         classes: classes.collect(),
         tenants: (0..boot.accounts.len()).map(tenant).collect(),
-        over_share_worth: boot.over_share_worth,
-        groups: boot.specifics.groups,
+        over_quota_value_ratio: boot.over_share_worth,
+        group_affinity: boot.specifics.groups,
         report_fields: if reports { fields.collect() } else { Vec::new() },
         limits: Limits {
             connect_timeout_ms: boot.bounds.connect_timeout_ms,
@@ -329,17 +329,17 @@
             max_retry_after_ms: boot.bounds.max_retry_after_ms,
         },
         rules: Rules {
-            ask_within_ms: boot.invariants.ask_within_ms,
-            cold_from: boot.invariants.cold_from,
-            warm_after_ms: boot.invariants.warm_after_ms,
-            tip_multiple: boot.invariants.tip_multiple,
-            overload_for_ms: boot.invariants.overload_for_ms,
+            fetch_within_ms: boot.invariants.ask_within_ms,
+            initial_capacity_ratio: boot.invariants.cold_from,
+            warm_up_ms: boot.invariants.warm_after_ms,
+            collapse_load_ratio: boot.invariants.tip_multiple,
+            collapse_after_ms: boot.invariants.overload_for_ms,
         },
         prices: Prices {
             moves: boot.prices.moves,
             probe: boot.prices.probe,
             cross_zone: boot.prices.cross_zone,
-            late_fail: boot.prices.late_fail,
+            late_failure: boot.prices.late_fail,
         },
     };
     let names = Names {
@@ -397,9 +397,9 @@
             |parsed: &ParsedSettings| ["view", "save", "sign"].map(|name| parsed.names.classes.id(name));
         assert_eq!(number(&first), [Some(0), Some(1), None]);
         assert_eq!(number(&next), [None, Some(1), Some(2)]);
-        let worths: Vec<_> = next.balancing.classes.iter().map(|c| c.worth).collect();
+        let worths: Vec<_> = next.balancing.classes.iter().map(|c| c.value).collect();
         assert_eq!((worths, next.balancing.limits.max_attempts), (vec![3.0, 7.0, 3.0], 2));
-        assert_eq!(next.balancing.classes[2].effect, Idempotency::Unsafe);
+        assert_eq!(next.balancing.classes[2].idempotency, Idempotency::Unsafe);
         // What has vanished may come back, under its old number.
         let back = from_value(settings()).expect("it is sound").as_reload_of(&next);
         assert_eq!(number(&back), [Some(0), Some(1), None]);
