--- a/node/src/membership/discovery.rs
+++ b/node/src/membership/discovery.rs
@@ -57,7 +57,7 @@
     fetch: RefCell<Option<AbortHandle>>,
     watch: RefCell<Option<AbortHandle>>,
     /// The session component, which also needs to know the servers, if sessions are enabled.
-    resume: RefCell<Option<Rc<SessionDriver>>>,
+    session_driver: RefCell<Option<Rc<SessionDriver>>>,
     /// The observer that keeps the list across restarts, if any, and the time of the last data from the
     /// service.
     observer: RefCell<Option<Rc<dyn ListObserver>>>,
@@ -88,7 +88,7 @@
             rev: Cell::new(0),
             fetch: RefCell::new(None),
             watch: RefCell::new(None),
-            resume: RefCell::new(None),
+            session_driver: RefCell::new(None),
             observer: RefCell::new(None),
             last_contact_at: Cell::new(f64::MIN),
             busy: Cell::default(),
@@ -97,8 +97,8 @@
     }
 
     /// Also reports servers to the session component. Must be called before the first list.
-    pub fn attach_sessions(&self, resume: Rc<SessionDriver>) {
-        self.resume.replace(Some(resume));
+    pub fn attach_sessions(&self, driver: Rc<SessionDriver>) {
+        self.session_driver.replace(Some(driver));
     }
 
     /// Reports list updates to the observer. Must be called before the first list.
@@ -195,9 +195,9 @@
         if kind != ListKind::Cached {
             self.directory.mark_list_received();
         }
-        if let Some(resume) = self.resume.borrow().as_ref() {
+        if let Some(driver) = self.session_driver.borrow().as_ref() {
             let entries = self.targets.borrow().values().map(|t| t.session_entry(&self.zones)).collect();
-            resume.servers_changed(entries);
+            driver.servers_changed(entries);
         }
         let entries = list.targets.iter().filter(|t| !withheld(t));
         let entries = entries.map(|t| t.entry(&self.clock, &self.zones)).collect();
