--- a/adapter/tests/process.rs
+++ b/adapter/tests/process.rs
@@ -1,5 +1,5 @@
-//! The adapter as a process: what it answers, and how it ends on broken input.
-#![allow(missing_docs, reason = "tests are named for what they show")]
+//! Tests of the adapter process: its replies, and its exit on malformed input.
+#![allow(missing_docs, reason = "test names are the documentation")]
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -16,10 +16,10 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the adapter starts");
-    // It may end before it has read all, which is what some tests are about.
+        .expect("the adapter must start");
+    // The write may fail: on malformed input the adapter exits before it has read everything.
     let _ = child.stdin.take().expect("piped").write_all(input);
-    child.wait_with_output().expect("the adapter ends")
+    child.wait_with_output().expect("the adapter must exit")
 }
 
 fn frame(records: &[u8]) -> Vec<u8> {
@@ -57,33 +57,37 @@
     record
 }
 
-/// It says what and where on standard error, ends with a failure, and has written whole replies only.
-fn assert_refused(input: &[u8], says: &str, replies: &[u8]) {
+/// Asserts that the adapter exits with a failure, reports `message` on standard error, and has written only
+/// complete replies.
+fn assert_rejected(input: &[u8], message: &str, replies: &[u8]) {
     let out = run(input);
-    let message = String::from_utf8_lossy(&out.stderr);
-    assert!(!out.status.success(), "must fail: {says}");
-    assert!(message.contains(says) && !message.contains("panicked"), "{message:?} does not say {says:?}");
-    assert_eq!(out.stdout, replies, "{says}");
+    let stderr = String::from_utf8_lossy(&out.stderr);
+    assert!(!out.status.success(), "must fail: {message}");
+    assert!(
+        stderr.contains(message) && !stderr.contains("panicked"),
+        "{stderr:?} does not contain {message:?}"
+    );
+    assert_eq!(out.stdout, replies, "{message}");
 }
 
 const EMPTY_REPLY: [u8; 8] = [4, 0, 0, 0, 0, 0, 0, 0];
 
 #[test]
-fn no_input_is_a_clean_end() {
+fn empty_input_exits_successfully() {
     let out = run(b"");
     assert!(out.status.success());
     assert!(out.stdout.is_empty() && out.stderr.is_empty());
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply() {
+fn empty_batch_gets_empty_reply() {
     let out = run(&frame(&[]));
     assert!(out.status.success());
     assert_eq!(out.stdout, EMPTY_REPLY);
 }
 
 #[test]
-fn a_request_is_sent_to_the_listed_server() {
+fn request_is_sent_to_listed_server() {
     let out = run(&frame(&[attach(SETTINGS), cached_list(), request(0x5d3a91c4)].concat()));
     assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
     let mut send = vec![25, 3, 0, 0xc4, 0x91, 0x3a, 0x5d];
@@ -95,43 +99,43 @@
 }
 
 #[test]
-fn a_truncated_frame_is_refused_with_its_place() {
+fn truncated_frame_is_rejected_with_its_offset() {
     let whole = frame(&request(1));
-    assert_refused(&whole[..2], "byte 2 of the frame", &[]);
-    assert_refused(&whole[..20], "byte 20 of the frame: input ends", &[]);
+    assert_rejected(&whole[..2], "byte 2 of the frame", &[]);
+    assert_rejected(&whole[..20], "byte 20 of the frame: input ends", &[]);
     let second = [frame(&[]), whole[..20].to_vec()].concat();
-    assert_refused(&second, "frame at input byte 12, byte 20", &EMPTY_REPLY);
+    assert_rejected(&second, "frame at input byte 12, byte 20", &EMPTY_REPLY);
 }
 
 #[test]
-fn an_impossible_length_is_refused() {
-    assert_refused(&[0xff; 16], "no length for a frame", &[]);
-    assert_refused(&[3, 0, 0, 0, 1, 2, 3], "3 is no length for a frame", &[]);
+fn invalid_frame_length_is_rejected() {
+    assert_rejected(&[0xff; 16], "byte 0 of the frame: invalid frame length 4294967295", &[]);
+    assert_rejected(&[3, 0, 0, 0, 1, 2, 3], "invalid frame length 3", &[]);
 }
 
 #[test]
-fn a_record_that_its_frame_cuts_short_is_refused() {
-    assert_refused(&frame(&request(1)[..9]), "a tenant takes 2 bytes, 0 are left", &[]);
+fn record_truncated_by_its_frame_is_rejected() {
+    assert_rejected(&frame(&request(1)[..9]), "a tenant needs 2 bytes, but only 0 remain", &[]);
     let mut list = cached_list();
     list[12..16].copy_from_slice(&u32::MAX.to_le_bytes());
-    assert_refused(&frame(&[attach(SETTINGS), list].concat()), "longer than its frame", &[]);
+    assert_rejected(&frame(&[attach(SETTINGS), list].concat()), "entries does not fit in the frame", &[]);
 }
 
 #[test]
-fn an_unknown_event_code_is_refused() {
-    assert_refused(&frame(&[99, 3, 0]), "byte 12 of the frame: 99 is no event code", &[]);
+fn unknown_event_code_is_rejected() {
+    assert_rejected(&frame(&[99, 3, 0]), "byte 12 of the frame: unknown event code 99", &[]);
 }
 
 #[test]
-fn an_event_for_an_instance_not_attached_is_refused() {
-    assert_refused(&frame(&request(1)), "byte 12 of the frame: instance 3 is not attached", &[]);
+fn event_for_detached_instance_is_rejected() {
+    assert_rejected(&frame(&request(1)), "byte 12 of the frame: instance 3 is not attached", &[]);
     let detached = [attach(SETTINGS), vec![21, 3, 0], request(1)].concat();
-    assert_refused(&frame(&detached), "instance 3 is not attached", &[]);
+    assert_rejected(&frame(&detached), "instance 3 is not attached", &[]);
 }
 
 #[test]
-fn settings_that_cannot_be_read_are_refused() {
-    assert_refused(&frame(&attach("{not json")), "settings of instance 3", &[]);
+fn invalid_settings_are_rejected() {
+    assert_rejected(&frame(&attach("{not json")), "settings of instance 3", &[]);
     let missing = SETTINGS.replace("\"coldFrom\": 0.1,", "");
-    assert_refused(&frame(&attach(&missing)), "missing field `coldFrom`", &[]);
+    assert_rejected(&frame(&attach(&missing)), "missing field `coldFrom`", &[]);
 }
--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -1,5 +1,5 @@
-//! What a connection costs the decisions from its request to its end, answers of servers that are asked for
-//! their load included; and what a housekeeping costs.
+//! Measures the cost of the decisions for one connection from its request to its end, including the results
+//! of load probes, and the cost of one housekeeping cycle.
 #![allow(missing_docs, reason = "a benchmark")]
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
@@ -20,15 +20,15 @@
 struct Node {
     balancer: Balancer,
     now: Millis,
-    next: u64,
+    last_id: u64,
     actions: Vec<Action>,
 }
 
 impl Node {
-    /// A balancer before so many servers, which holds 13 connections.
+    /// Creates a balancer with this number of servers that holds 13 connections.
     fn new(servers: u64) -> Self {
         let balancer = Balancer::new(settings(), 1, 1_000.0);
-        let mut node = Self { balancer, now: 1_000.0, next: 0, actions: Vec::new() };
+        let mut node = Self { balancer, now: 1_000.0, last_id: 0, actions: Vec::new() };
         let entry = |id| ServerEntry {
             server: ServerId(id),
             zone: ZoneId((id % 2) as u8),
@@ -38,20 +38,20 @@
             started_at: 0.0,
         };
         let entries = (1..=servers).map(entry).collect();
-        node.on(Event::ServerList { kind: ListKind::Full, entries });
+        node.handle(Event::ServerList { kind: ListKind::Full, entries });
         for _ in 0..13 {
-            node.place();
+            node.open_connection();
         }
         node
     }
 
-    /// Feeds an event and answers the probes that come of it; the server of the last send.
-    fn on(&mut self, event: Event) -> Option<ServerId> {
+    /// Handles an event and answers the resulting probes. Returns the server of the last attempt sent.
+    fn handle(&mut self, event: Event) -> Option<ServerId> {
         self.actions.clear();
         self.balancer.handle(self.now, event, &mut self.actions);
-        let (mut at, mut sent) = (0, None);
-        while at < self.actions.len() {
-            match self.actions[at] {
+        let (mut next, mut sent) = (0, None);
+        while next < self.actions.len() {
+            match self.actions[next] {
                 Action::Probe(server) => {
                     let answer = Event::ProbeResult { server, ok: true, report: vec![0.4, 20.0] };
                     self.balancer.handle(self.now, answer, &mut self.actions);
@@ -59,39 +59,39 @@
                 Action::Send { server, .. } => sent = Some(server),
                 _ => {}
             }
-            at += 1;
+            next += 1;
         }
         sent
     }
 
-    fn place(&mut self) -> RequestId {
-        self.next += 1;
-        // A second and more apart: nothing that was told is fresh.
+    fn open_connection(&mut self) -> RequestId {
+        self.last_id += 1;
+        // More than a second apart, so that no load report is still fresh.
         self.now += 1_500.0;
-        let request = RequestId(self.next);
+        let request = RequestId(self.last_id);
         let new = NewRequest { request, time_left_ms: 4_800.0, ..NewRequest::default() };
-        assert!(self.on(Event::Request(new)).is_some());
-        self.on(Event::Established { request, attempt: AttemptNo(0), latency_ms: 1.0 });
+        assert!(self.handle(Event::Request(new)).is_some());
+        self.handle(Event::Established { request, attempt: AttemptNo(0), latency_ms: 1.0 });
         request
     }
 }
 
-fn decide(c: &mut Criterion) {
-    let mut group = c.benchmark_group("decide");
+fn decide(criterion: &mut Criterion) {
+    let mut group = criterion.benchmark_group("decide");
     for servers in [12, 90, 5_000] {
-        group.bench_with_input(BenchmarkId::new("connection", servers), &servers, |b, servers| {
+        group.bench_with_input(BenchmarkId::new("connection", servers), &servers, |bencher, servers| {
             let mut node = Node::new(*servers);
-            b.iter(|| {
-                let request = node.place();
+            bencher.iter(|| {
+                let request = node.open_connection();
                 let (outcome, closed) = (Outcome::Ok, true);
-                node.on(Event::AttemptEnded { request, attempt: AttemptNo(0), outcome, closed });
+                node.handle(Event::AttemptEnded { request, attempt: AttemptNo(0), outcome, closed });
             });
         });
-        group.bench_with_input(BenchmarkId::new("housekeeping", servers), &servers, |b, servers| {
+        group.bench_with_input(BenchmarkId::new("housekeeping", servers), &servers, |bencher, servers| {
             let mut node = Node::new(*servers);
-            b.iter(|| {
+            bencher.iter(|| {
                 node.now += 201.0;
-                node.on(Event::Timer(TimerToken(0)));
+                node.handle(Event::Timer(TimerToken(0)));
             });
         });
     }
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -1,11 +1,11 @@
-//! All decisions. The types that go in and out are in `interface.rs`.
+//! All balancing decisions. The input and output types are in `interface.rs`.
 //!
-//! The ordinary path is Greedy(D, d): the server with the lowest own open connections per weight
-//! among d uniform draws over the ready servers, d from the weights ([`crate::draws_for`]).
-//! Exceptions are named where they act, each with what it guards against; `docs/design.md` lists them.
+//! The basic rule is Greedy(D, d): the server with the fewest own open connections per weight
+//! among d uniform draws over the ready servers, with d derived from the weights ([`crate::draw_count`]).
+//! Exceptions are documented where they apply, each with what it guards against; `docs/design.md` lists them.
 
+mod handover;
 mod membership;
-mod succession;
 
 use crate::interface::*;
 use crate::variant::{InjectedBug, Variant};
@@ -13,154 +13,166 @@
 use marllink_affinity::Sizes;
 use marllink_rate_limits::{Pace, Rate, Shortage, by_share, relief, whole};
 use marllink_retries::{Limiter, Ran};
-use marllink_server_state::{Command, Event as Asked, Held, Silence, Verdict};
+use marllink_server_state::{Command, Event as ReportEvent, Held, Silence, Verdict};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use rand_xoshiro::rand_core::{Rng, SeedableRng};
 use rustc_hash::{FxHashMap, FxHashSet};
 
 // ---- Tunables ---------------------------------------------------------------------------------
 
-/// Connections by which a server of the own zone may stand above others and still be picked, for
-/// each point in a hundred that crossing all requests costs.
-const ZONE_CREDIT: f64 = 0.8;
-/// Rounds of draws when all that was drawn is unusable (just tried, or cold and out of budget).
-const ROUNDS: usize = 8;
-/// A group's hosts, as many as its share of all, are drawn with the others and count as holding so many
-/// connections less; of so many beyond those each counts by this factor less than the one before. What a
-/// group costs a host that holds any is told nowhere; more would fill the first before others of its kind.
-const GROUP_MORE: usize = 2;
-const GROUP_CREDIT: f64 = 2.0;
-const GROUP_FADE: f64 = 0.7;
-/// So many times the draws that the paper asks for: own counts tie, and of more the order is truer.
-const MARGIN: usize = 3;
-/// Of servers that tie, so many at most are asked for their load before one is picked, and if those are
-/// full by what they say, so many draws more are made.
-const ASKED: usize = 3;
-const MORE_DRAWS: u8 = 2;
-/// One that does not answer counts as holding so many more: it is sent what no other may take.
-const MUTE: f64 = 1e6;
-/// A server of whose load nothing is known is taken to have this much.
-const UNKNOWN_LOAD: f64 = 0.5;
-/// Housekeeping period in ms: well under the shortest ejection and any set-up aim.
-const TICK_MS: Millis = 200.0;
-/// First ejection in ms; doubled with each failure running, as a longer trouble is likelier then, but
-/// for no longer than this: a recovered server must not stay empty for long.
-const EJECT_MS: Millis = 1_000.0;
-const MAX_EJECT_MS: Millis = 8_000.0;
-/// A server that has been back for so many ms without a failure starts anew. A success alone does
-/// not say so: a server that fails most requests has some, and one that sheds accepts all.
-const FORGIVE_MS: Millis = 5_000.0;
-/// Share of the ready servers out at once at most: if more look bad, the cause is not theirs.
-const MAX_EJECTED: f64 = 0.5;
-/// Failures within so many ms count as one: a lost server resets all its connections together.
-const SAME_FAILURE_MS: Millis = 50.0;
-/// A server with this load over what it can do is busy and takes nothing new ...
-const BUSY_LOAD: f64 = 0.7;
-/// ... and one with more than this is relieved, down to `BUSY_LOAD` ...
-const OVER_LOAD: f64 = 0.8;
-/// ... and then not for so many ms: reports do not tell yet what other nodes have moved.
-const RELIEF_MS: Millis = 2_500.0;
-/// A report is corrected by what has become of the own connections since it was made: so many
-/// housekeepings before it came, as reports are made now and then and late.
-const REPORT_AGE: usize = 4;
-/// Where servers tell no loads, none takes more than this multiple of the mean own count per weight:
-/// where few are left that take any, all that comes would else fall on those.
-const MEAN_BOUND: f64 = 2.0;
-/// Time constant in ms of the own rate of set-ups that cold budgets are measured by: longer than
-/// a burst of returning clients, shorter than the swing of a day ...
-const RATE_TAU_MS: Millis = 20_000.0;
-/// ... and of the one that tells a burst, where a budget is too thin to hold a whole connection.
-const BURST_TAU_MS: Millis = 1_000.0;
-/// A cold server is sent at most this part of what would tip it: the rest is for the error of
-/// the guess, for heavy connections, for bursts, and for nodes that do not know yet.
-const COLD_MARGIN: f64 = 0.5;
-/// But this part while it reports less load than that: if it is smaller than the guess it fills up,
-/// and the next report tells so before the time to fall over has passed.
-const COLD_IDLE_MARGIN: f64 = 0.8;
-const COLD_IDLE: f64 = 0.35;
-/// A server that drains is left evenly over so many ms, by chance where no whole connection is due:
-/// nodes that hold one each would else all clear it in the same moment.
-const LEAVE_MS: Millis = 4_000.0;
-/// A refused client is told to stay away for so many ms, give or take half, so that those refused
-/// together do not come again together: servers that are full, hot or out need about that long.
+/// Zone credit, in connections per 0.01 of the cross-zone price: a server of the own zone may hold this many
+/// connections more than others and still be picked.
+const ZONE_CREDIT_CONNECTIONS: f64 = 0.8;
+/// Maximum number of rounds of draws while all drawn servers are unusable (recently tried, or in slow start
+/// with an exhausted budget).
+const MAX_DRAW_ROUNDS: usize = 8;
+/// Servers beyond a group's share of the fleet that also receive its credit, each a smaller one.
+const GROUP_EXTRA_SERVER_COUNT: usize = 2;
+/// Group credit: the preferred servers of a group are drawn in addition to the others and count as holding
+/// this many connections less. What a group costs a server that holds any of it is unknown; a higher credit
+/// would fill a group's first server before others of the same size.
+const GROUP_CREDIT_CONNECTIONS: f64 = 2.0;
+/// Factor by which the group credit falls with each server beyond the group's share.
+const GROUP_CREDIT_DECAY_RATIO: f64 = 0.7;
+/// Multiple of the number of draws that the theorem requires: a node's own counts often tie, and more draws
+/// order the servers more accurately.
+const DRAW_MULTIPLIER: usize = 3;
+/// Maximum number of tied servers that become candidates and are probed before one of them is picked.
+const MAX_CANDIDATE_COUNT: usize = 3;
+/// Maximum number of further draws if all candidates are full according to their reports.
+const MAX_REDRAW_COUNT: u8 = 2;
+/// Connections added to the count of a server that does not answer probes: it only receives what no other
+/// server may take.
+const UNRESPONSIVE_PENALTY_CONNECTIONS: f64 = 1e6;
+/// Load assumed for a server without a known load.
+const UNKNOWN_LOAD_RATIO: f64 = 0.5;
+/// Housekeeping period: well under the shortest ejection and any set-up goal.
+const HOUSEKEEPING_MS: Millis = 200.0;
+/// Duration of the first ejection. It doubles with each consecutive failure, since a longer outage becomes
+/// more likely.
+const EJECTION_MS: Millis = 1_000.0;
+/// Maximum duration of an ejection: a recovered server must not stay empty for long.
+const MAX_EJECTION_MS: Millis = 8_000.0;
+/// Time without a failure after an ejection that resets the count of consecutive failures. A success alone
+/// does not reset it: a server that fails most requests has some successes, and one that sheds load accepts
+/// all connections.
+const FAILURE_RESET_MS: Millis = 5_000.0;
+/// Maximum share of the ready servers that may be ejected at once: if more appear to fail, the cause lies
+/// elsewhere.
+const MAX_EJECTED_RATIO: f64 = 0.5;
+/// Failures of a server within this time count as one: a lost server resets all its connections together.
+const FAILURE_MERGE_MS: Millis = 50.0;
+/// Load from which a server is busy and receives no new connections.
+const BUSY_LOAD_RATIO: f64 = 0.7;
+/// Load from which connections are moved off a server, down to `BUSY_LOAD_RATIO`.
+const OVERLOAD_RATIO: f64 = 0.8;
+/// Minimum time between two such moves: reports do not yet reflect what other nodes have moved.
+const REBALANCE_INTERVAL_MS: Millis = 2_500.0;
+/// Assumed age of a load report on arrival, in housekeeping periods, as reports are made periodically and
+/// arrive late. A reported load is corrected by the change of the own connections since then.
+const REPORT_AGE_PERIODS: usize = 4;
+/// Where servers report no load, maximum own count of a server per weight, as a multiple of the mean: if few
+/// servers accept connections, all new ones would otherwise go to those.
+const MAX_MEAN_MULTIPLE: f64 = 2.0;
+/// Time constant of the own set-up rate that slow-start budgets are based on: longer than a burst of
+/// reconnecting clients, shorter than the daily cycle.
+const SETUP_RATE_TAU_MS: Millis = 20_000.0;
+/// Time constant of the set-up rate that detects bursts, used where a budget is less than one connection.
+const BURST_RATE_TAU_MS: Millis = 1_000.0;
+/// Share of the load that would make a server in slow start collapse that it is sent at most. The rest
+/// allows for errors of the estimate, heavy connections, bursts, and nodes that do not know of it yet.
+const SLOW_START_MARGIN_RATIO: f64 = 0.5;
+/// The same share while the server reports less than `SLOW_START_IDLE_LOAD_RATIO`: if it has less capacity
+/// than estimated, its load rises and the next report shows that before it collapses.
+const SLOW_START_IDLE_MARGIN_RATIO: f64 = 0.8;
+/// Reported load below which a server in slow start counts as idle.
+const SLOW_START_IDLE_LOAD_RATIO: f64 = 0.35;
+/// Time over which connections are moved off a draining server at an even pace, randomized where less than
+/// one connection is due: otherwise nodes that hold one each would all move it at the same moment.
+const DRAIN_MS: Millis = 4_000.0;
+/// Mean retry-after delay of a rejected client, randomized by half of it either way so that clients rejected
+/// together do not return together. Servers that are full, overloaded or ejected need about this long.
 const RETRY_AFTER_MS: Millis = 1_000.0;
-/// So many servers that answer a request with an error say that it is not theirs.
-const MOST_ERRORS: usize = 3;
-/// An attempt with less than this left, in ms, cannot succeed any more.
-const LEAST_LEFT_MS: Millis = 5.0;
+/// Number of servers that must answer a request with an error before the request itself counts as the cause.
+const MAX_ERROR_COUNT: usize = 3;
+/// Minimum time left for an attempt: with less it can no longer succeed.
+const MIN_TIME_LEFT_MS: Millis = 5.0;
 
-const TICK: TimerToken = TimerToken(0);
-const ASK: TimerToken = TimerToken(1);
-const PATIENCE: TimerToken = TimerToken(2);
-const NOWHERE: usize = usize::MAX;
+const HOUSEKEEPING_TIMER: TimerToken = TimerToken(0);
+const LIST_TIMER: TimerToken = TimerToken(1);
+const PROBE_TIMER: TimerToken = TimerToken(2);
+/// Marks an index as unset.
+const NO_INDEX: usize = usize::MAX;
 
 #[derive(Debug)]
 struct Server {
     id: ServerId,
     zone: ZoneId,
     cell: CellId,
-    /// As it counts, and as listed: one that is taken out drains whatever the list says.
+    /// Effective state: a server in maintenance drains whatever the list says.
     state: ServerState,
-    listed: ServerState,
-    /// As listed.
+    listed_state: ServerState,
     listed_weight: f64,
-    /// As used: positive and finite.
+    /// Effective weight: positive and finite.
     weight: f64,
-    /// Own attempts out and connections open, a predecessor's among them.
+    /// Number of own pending attempts and open connections, including those of a predecessor.
     open: u32,
-    /// Own connections open.
+    /// Own open connections, oldest first.
     connections: Vec<RequestId>,
-    /// A predecessor's attempts and connections, and their load.
-    elsewhere: (u32, f64),
-    /// What the own connections load it with now; and how many they were and with what load at the last
-    /// housekeepings, newest first.
-    load: f64,
-    loads: [(f64, f64); REPORT_AGE],
-    /// When it is to be left for good, once it drains.
-    leave_by: Millis,
-    /// Place among the servers that may be picked, or `NOWHERE`.
-    place: usize,
-    /// What a successor is told of it.
-    track: ServerHistory,
+    /// Number and load of a predecessor's attempts and connections.
+    predecessor_held: (u32, f64),
+    /// Current load of the own connections.
+    own_load: f64,
+    /// Number and load of the own connections in the last housekeeping cycles, newest first.
+    own_history: [(f64, f64); REPORT_AGE_PERIODS],
+    /// While draining, when all connections should have been moved.
+    drain_by: Millis,
+    /// Index in `Balancer::pickable`, or `NO_INDEX`.
+    pickable_index: usize,
+    /// State that a successor receives.
+    history: ServerHistory,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Phase {
-    /// Waiting for a server.
-    Held,
-    /// Servers are asked for their load.
-    Asking,
-    /// An attempt is out.
-    Trying,
-    /// The connection stands.
+    /// Waiting for a server that can take it.
+    Queued,
+    /// Waiting for load probes of its candidates.
+    Probing,
+    /// An attempt is pending.
+    Attempting,
+    /// The connection is established.
     Open,
-    /// Final answer given, an attempt still out.
-    Over,
+    /// The client needs no further answer, but an attempt or connection has not ended yet.
+    Finished,
 }
 
+/// A request, from its arrival until its connection has ended.
 #[derive(Debug)]
-struct Pending {
+struct RequestState {
     class: ClassId,
     tenant: TenantId,
     group: u64,
     phase: Phase,
-    /// Servers tried last, newest first.
-    tried: [usize; 2],
-    /// Servers that have answered it with an error or a break.
-    erred: Vec<usize>,
-    /// Servers drawn, and draws made for the next attempt.
-    drawn: Vec<usize>,
-    redrawn: u8,
-    /// The next attempt is not made before that.
-    again_at: Millis,
-    /// The server of the attempt out or the connection open.
+    /// Slots of the servers tried last, newest first.
+    last_tried: [usize; 2],
+    /// Slots of the servers that answered with an error or reset the connection.
+    errored: Vec<usize>,
+    /// Slots of the candidates for the next attempt.
+    candidates: Vec<usize>,
+    /// Number of further draws for the next attempt.
+    redraws: u8,
+    /// Earliest time of the next attempt.
+    retry_at: Millis,
+    /// Slot of the server of the pending attempt or open connection.
     slot: usize,
-    arrived: Millis,
+    arrived_at: Millis,
     deadline: Millis,
     sent_at: Millis,
     attempts: u8,
-    /// Microseconds of work a second, once told.
+    /// Microseconds of work per second; 0 until reported.
     load: f64,
+    /// The first attempt that may have run.
     ran: Option<Ran>,
 }
 
@@ -170,256 +182,273 @@
     settings: Settings,
     rng: Xoshiro256PlusPlus,
     now: Millis,
+    /// All known servers; an index into this is called a slot.
     servers: Vec<Server>,
-    free: Vec<usize>,
-    index: FxHashMap<ServerId, usize>,
-    /// Ready and not ejected.
+    free_slots: Vec<usize>,
+    slot_by_id: FxHashMap<ServerId, usize>,
+    /// Slots of the servers that are ready and not ejected.
     pickable: Vec<usize>,
     ejected: Vec<usize>,
-    ready: usize,
+    ready_count: usize,
     ready_weight: f64,
     ready_open: f64,
-    /// Weight of the ready servers, each as far as it is warm.
-    warm_weight: f64,
-    draws: usize,
-    least: f64,
-    requests: FxHashMap<RequestId, Pending>,
-    held: Vec<RequestId>,
-    /// What a successor is told of the fleet.
+    /// Weight of the ready servers that carry the own load, scaled down for those in slow start.
+    available_weight: f64,
+    draw_count: usize,
+    min_weight: f64,
+    requests: FxHashMap<RequestId, RequestState>,
+    queued: Vec<RequestId>,
+    /// State of the fleet that a successor receives.
     fleet: FleetHistory,
-    /// What servers have said of their load, and which picks wait for that.
+    /// Reported loads of servers, and the picks that wait for probes.
     reports: marllink_server_state::Knowledge<ServerId, ReportedLoad>,
-    silence: Silence<ServerId>,
-    retries: Limiter,
-    burst: Rate,
-    shares: Shares,
-    /// Connections seen by group.
-    groups: Sizes,
+    symptoms: Silence<ServerId>,
+    retry_limiter: Limiter,
+    burst_rate: Rate,
+    tenant_shares: Shares,
+    /// Number of connections seen by group.
+    group_sizes: Sizes,
     variant: Variant,
-    /// Own connections, a predecessor's among them.
-    total: usize,
-    /// Servers that the operators have taken out, and those put back that have held nothing since.
-    out: FxHashSet<ServerId>,
-    back: FxHashSet<ServerId>,
+    /// Number of own open connections, including those of a predecessor.
+    connection_count: usize,
+    in_maintenance: FxHashSet<ServerId>,
+    /// Servers returned from maintenance that have held no connection since.
+    returned: FxHashSet<ServerId>,
     /// When housekeeping is due; `INFINITY` before the first event.
-    tick_at: Millis,
-    slow_aim: Millis,
+    housekeeping_at: Millis,
+    /// The strictest latency goal for a message.
+    message_goal: Millis,
 }
 
 impl Balancer {
-    /// A balancer that knows nothing yet. `seed` should differ between nodes and restarts; the
-    /// first event should be the list of servers as last known, empty if there is none.
+    /// Creates a balancer without any knowledge. `seed` should differ between nodes and restarts. The
+    /// first event should be the last known server list, which may be empty.
     #[must_use]
     pub fn new(settings: Settings, seed: u64, now: Millis) -> Self {
         Self::with_variant(settings, seed, now, Variant::default())
     }
 
-    /// The same, but for what differs: for experiments.
+    /// Creates a balancer with a variant of the decisions, for experiments.
     #[must_use]
     pub fn with_variant(settings: Settings, seed: u64, now: Millis, variant: Variant) -> Self {
         Self {
-            slow_aim: settings.strictest_message_goal(),
+            message_goal: settings.strictest_message_goal(),
             reports: marllink_server_state::Knowledge::new(settings.probe_settings()),
-            silence: Silence::default(),
-            retries: Limiter::new(variant.retries.clone(), settings.nodes, now),
-            burst: Rate::new(BURST_TAU_MS, now),
-            shares: Shares::new(settings.tenant_quotas(), settings.nodes),
-            groups: Sizes::default(),
+            symptoms: Silence::default(),
+            retry_limiter: Limiter::new(variant.retries.clone(), settings.nodes, now),
+            burst_rate: Rate::new(BURST_RATE_TAU_MS, now),
+            tenant_shares: Shares::new(settings.tenant_quotas(), settings.nodes),
+            group_sizes: Sizes::default(),
             variant,
             settings,
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
             now,
             servers: Vec::new(),
-            free: Vec::new(),
-            index: FxHashMap::default(),
+            free_slots: Vec::new(),
+            slot_by_id: FxHashMap::default(),
             pickable: Vec::new(),
             ejected: Vec::new(),
-            ready: 0,
+            ready_count: 0,
             ready_weight: 0.0,
             ready_open: 0.0,
-            warm_weight: 0.0,
-            draws: 2,
-            least: 1.0,
+            available_weight: 0.0,
+            draw_count: 2,
+            min_weight: 1.0,
             requests: FxHashMap::default(),
-            held: Vec::new(),
+            queued: Vec::new(),
             fleet: FleetHistory {
-                setup_rate: Rate::new(RATE_TAU_MS, now),
+                setup_rate: Rate::new(SETUP_RATE_TAU_MS, now),
                 shortage: Shortage::new(now),
                 ..FleetHistory::default()
             },
-            total: 0,
-            out: FxHashSet::default(),
-            back: FxHashSet::default(),
-            tick_at: f64::INFINITY,
+            connection_count: 0,
+            in_maintenance: FxHashSet::default(),
+            returned: FxHashSet::default(),
+            housekeeping_at: f64::INFINITY,
         }
     }
 
-    /// Takes one event at `now` and appends what is to be done. A clock that steps back stands
-    /// still; ids that are not known are ignored.
-    pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
+    /// Handles one event that happened at `now` and appends the resulting actions. A clock that steps back
+    /// counts as stopped; unknown ids are ignored.
+    pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         if now > self.now {
             self.now = now;
         }
-        if self.tick_at == f64::INFINITY {
-            // Nodes that start together should not keep house together.
-            let delay_ms = TICK_MS * self.uniform();
-            self.tick_at = self.now + delay_ms;
-            out.push(Action::SetTimer { delay_ms, token: TICK });
+        if self.housekeeping_at == f64::INFINITY {
+            // A random offset: nodes that start together must not run housekeeping in step.
+            let delay_ms = HOUSEKEEPING_MS * self.uniform();
+            self.housekeeping_at = self.now + delay_ms;
+            actions.push(Action::SetTimer { delay_ms, token: HOUSEKEEPING_TIMER });
         }
         match event {
-            Event::ServerList { kind, entries } => self.on_list(kind, &entries, out),
-            Event::Maintenance { server, begins } => self.on_maintenance(server, begins, out),
+            Event::ServerList { kind, entries } => self.on_list(kind, &entries, actions),
+            Event::Maintenance { server, begins } => self.on_maintenance(server, begins, actions),
             Event::Settings(settings) => {
-                self.slow_aim = settings.strictest_message_goal();
-                self.retries.among(settings.nodes);
-                self.shares.retune(settings.tenant_quotas(), settings.nodes);
+                self.message_goal = settings.strictest_message_goal();
+                self.retry_limiter.among(settings.nodes);
+                self.tenant_shares.retune(settings.tenant_quotas(), settings.nodes);
                 self.settings = settings;
             }
-            Event::TakeOver(knowledge) => self.take_over(knowledge),
-            Event::PredecessorHoldings(holdings) => self.on_elsewhere(&holdings),
-            Event::Request(request) => self.on_request(&request, out),
-            Event::OpenConnection { request, server } => self.on_open(&request, server),
+            Event::TakeOver(learned) => self.take_over(learned),
+            Event::PredecessorHoldings(holdings) => self.on_predecessor_holdings(&holdings),
+            Event::Request(request) => self.on_request(&request, actions),
+            Event::OpenConnection { request, server } => self.on_open_connection(&request, server),
             Event::Established { request, attempt, .. } => self.on_established(request, attempt),
             Event::ConnectionLoad { request, load } => {
-                if let Some(pending) = self.requests.get_mut(&request) {
-                    let before = std::mem::replace(&mut pending.load, load);
-                    if pending.phase == Phase::Open {
-                        self.servers[pending.slot].load += load - before;
+                if let Some(state) = self.requests.get_mut(&request) {
+                    let before = std::mem::replace(&mut state.load, load);
+                    if state.phase == Phase::Open {
+                        self.servers[state.slot].own_load += load - before;
                     }
                 }
             }
             Event::AttemptEnded { request, attempt, outcome, closed } => {
-                self.on_ended(request, attempt, outcome, closed, out);
+                self.on_attempt_ended(request, attempt, outcome, closed, actions);
             }
-            Event::MessageDelay { request, delay_ms } => self.on_delay(request, delay_ms, out),
-            Event::Unresponsive { server, symptom: sign } => self.on_silent(server, sign, out),
-            Event::Timer(TICK) => self.on_tick(out),
-            Event::Timer(ASK) => out.push(Action::WatchList),
-            Event::ClientGone(request) => self.on_client_gone(request, out),
-            Event::AnswerNow(request) => self.answer_now(request, out),
-            Event::ProbeResult { server, ok, report } => self.on_report(server, ok, &report, out),
-            Event::Timer(PATIENCE) => self.ask(Asked::Due, out),
+            Event::MessageDelay { request, delay_ms } => self.on_message_delay(request, delay_ms, actions),
+            Event::Unresponsive { server, symptom } => self.on_unresponsive(server, symptom, actions),
+            Event::Timer(HOUSEKEEPING_TIMER) => self.on_housekeeping(actions),
+            Event::Timer(LIST_TIMER) => actions.push(Action::WatchList),
+            Event::ClientGone(request) => self.on_client_gone(request, actions),
+            Event::AnswerNow(request) => self.answer_now(request, actions),
+            Event::ProbeResult { server, ok, report } => self.on_probe_result(server, ok, &report, actions),
+            Event::Timer(PROBE_TIMER) => self.handle_reports(ReportEvent::Due, actions),
             Event::Timer(_) | Event::PeerMessage { .. } => {}
         }
     }
 
-    /// May an attempt at this server begin? One that was ready when it was picked may have been told to drain
-    /// while its connection came up.
+    /// Returns true if an attempt at this server may begin. A server that was ready when it was picked may
+    /// have started to drain while the connection was being established.
     #[must_use]
     pub fn accepts_new(&self, server: ServerId) -> bool {
-        self.index.get(&server).is_some_and(|slot| self.servers[*slot].state == ServerState::Ready)
+        self.slot_by_id.get(&server).is_some_and(|slot| self.servers[*slot].state == ServerState::Ready)
     }
 
+    /// Returns a random number in 0..1.
     fn uniform(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// What carries the own load today: of the own zone, as far as crossing has a price and any is there.
-    fn weigh_warm(&mut self) {
-        let weigh = |slot: &usize| self.servers[*slot].weight * self.capacity(*slot);
+    /// Updates the weight that carries the own load: that of the own zone if crossing zones has a price and
+    /// the zone has ready servers, otherwise that of all ready servers.
+    fn update_available_weight(&mut self) {
+        let available = |slot: &usize| self.servers[*slot].weight * self.capacity_ratio(*slot);
         let ready = || self.pickable.iter().chain(&self.ejected);
-        let home = ready().filter(|slot| self.servers[**slot].zone == self.settings.zone).map(weigh).sum();
-        let stays = self.settings.prices.cross_zone > 0.0 && home > 0.0;
-        self.warm_weight = if stays { home } else { ready().map(weigh).sum() };
+        let in_zone =
+            ready().filter(|slot| self.servers[**slot].zone == self.settings.zone).map(available).sum();
+        let stays_in_zone = self.settings.prices.cross_zone > 0.0 && in_zone > 0.0;
+        self.available_weight = if stays_in_zone { in_zone } else { ready().map(available).sum() };
     }
 
-    /// What a set-up is for each unit of that; nothing where there is none.
-    fn per_warm(&self) -> f64 {
-        if self.warm_weight > 0.0 { 1.0 / self.warm_weight } else { 0.0 }
+    /// Returns what one set-up adds per unit of available weight; 0 if no weight is available.
+    fn setup_per_weight(&self) -> f64 {
+        if self.available_weight > 0.0 { 1.0 / self.available_weight } else { 0.0 }
     }
 
     // ---- Load counts and draws ------------------------------------------------------------------
 
-    fn add_open(&mut self, slot: usize, by: i32) {
+    fn add_open(&mut self, slot: usize, change: i32) {
         let server = &mut self.servers[slot];
-        server.open = server.open.saturating_add_signed(by);
+        server.open = server.open.saturating_add_signed(change);
         if server.state == ServerState::Ready {
-            self.ready_open += f64::from(by);
+            self.ready_open += f64::from(change);
         } else if server.open == 0 && server.state == ServerState::Gone {
             let id = server.id;
-            self.forget(slot, id);
+            self.release_slot(slot, id);
         }
     }
 
     fn age(&self, slot: usize) -> Millis {
         let s = &self.servers[slot];
-        if s.track.started_at > 0.0 { (self.now - s.track.started_at).max(0.0) } else { f64::INFINITY }
+        if s.history.started_at > 0.0 { (self.now - s.history.started_at).max(0.0) } else { f64::INFINITY }
     }
 
-    /// How warm a server is: 0 at its start, 1 when it must be warm.
-    fn warmth(&self, slot: usize) -> f64 {
-        let warm_after = self.settings.rules.warm_up_ms.max(1.0);
-        (self.age(slot) / warm_after).min(1.0)
+    /// Returns how far a server has warmed up: 0 at its start, 1 once slow start is over.
+    fn warmup(&self, slot: usize) -> f64 {
+        let warm_up_ms = self.settings.rules.warm_up_ms.max(1.0);
+        (self.age(slot) / warm_up_ms).min(1.0)
     }
 
-    /// What a server can surely do, as a share of what it can do when warm.
-    fn capacity(&self, slot: usize) -> f64 {
-        let cold_from = self.settings.rules.initial_capacity_ratio;
-        cold_from + (1.0 - cold_from) * self.warmth(slot)
+    /// Returns the guaranteed capacity of a server as a share of its capacity when warmed up.
+    fn capacity_ratio(&self, slot: usize) -> f64 {
+        let initial = self.settings.rules.initial_capacity_ratio;
+        initial + (1.0 - initial) * self.warmup(slot)
     }
 
-    /// Own connections per weight. A new or restarted server starts at the others' mean and fades
-    /// to its real count, or it would draw every new connection while it can do least.
-    fn load(&mut self, slot: usize) -> f64 {
+    /// Returns the own connections per weight. A new or restarted server starts at the mean of the others
+    /// and fades to its actual count: otherwise it would attract every new connection while its capacity
+    /// is lowest.
+    fn connections_per_weight(&mut self, slot: usize) -> f64 {
         let s = &self.servers[slot];
         let (open, weight) = (f64::from(s.open), s.weight);
-        let warmth = self.warmth(slot);
+        let warmup = self.warmup(slot);
         let others = self.ready_weight - weight;
         let mean = if others > 0.0 { (self.ready_open - open).max(0.0) / others * weight } else { 0.0 };
-        let count = mean * (1.0 - warmth) + open * warmth;
-        whole(count * self.least / weight, self.uniform()) as f64 / self.least
+        let count = mean * (1.0 - warmup) + open * warmup;
+        whole(count * self.min_weight / weight, self.uniform()) as f64 / self.min_weight
     }
 
-    /// Zone credit: where crossing zones has a price, servers of the own zone count as holding some
-    /// connections less. Own counts are even over all zones, so the plain rule crosses nearly always.
+    /// Returns the zone credit: if crossing zones has a price, servers of the own zone count as holding some
+    /// connections less. Own counts are balanced over all zones, so the basic rule would nearly always cross.
     fn zone_credit(&self, slot: usize) -> f64 {
         let s = &self.servers[slot];
         let price = if s.zone == self.settings.zone { self.settings.prices.cross_zone } else { 0.0 };
         if self.variant.injected_bug == Some(InjectedBug::CreditByWeight) {
-            return ZONE_CREDIT * 100.0 * price / s.weight;
+            return ZONE_CREDIT_CONNECTIONS * 100.0 * price / s.weight;
         }
-        // By the mean weight: a connection less must not count for more on a smaller server.
-        ZONE_CREDIT * 100.0 * price * self.ready as f64 / self.ready_weight
+        // Divided by the mean weight: the credit must not count for more on a server of lower weight.
+        ZONE_CREDIT_CONNECTIONS * 100.0 * price * self.ready_count as f64 / self.ready_weight
     }
 
-    /// The draw for a pick: of uniform draws those with the least own connections per weight, and of those
-    /// some by chance in proportion to weight, as a large fleet leaves most at 0.
-    fn draw_some(&mut self, pending: &Pending) -> Vec<usize> {
-        if let Some(slot) = self.first_back(pending) {
+    /// Draws the candidates of a pick: the drawn servers with the fewest own connections per weight. Ties
+    /// are broken at random in proportion to weight, as most counts are 0 in a large fleet.
+    fn draw_candidates(&mut self, request: &RequestState) -> Vec<usize> {
+        if let Some(slot) = self.returned_server(request) {
             return vec![slot];
         }
-        // A few draws seldom meet the own zone where there are many: as many again for each other zone.
-        let prefers = self.settings.prices.cross_zone > 0.0;
-        let draws = MARGIN * self.draws * if prefers { usize::from(self.settings.zones.max(1)) } else { 1 };
+        // With many zones a few draws rarely hit the own one, so the draws are multiplied by the zones.
+        let prefers_zone = self.settings.prices.cross_zone > 0.0;
+        let draws = DRAW_MULTIPLIER
+            * self.draw_count
+            * if prefers_zone { usize::from(self.settings.zones.max(1)) } else { 1 };
         let (mut seen, mut drawn) = (Vec::new(), Vec::<(f64, usize)>::new());
-        let (first, wide) = self.group_first(pending.group);
-        for round in 0..ROUNDS {
-            for nth in 0..draws + first.len() {
-                let Some(slot) = first.get(nth).copied().or_else(|| self.draw()) else { return Vec::new() };
-                // What is left to chance is asked once for each pick.
-                if seen.contains(&slot) || (round + 1 < ROUNDS && pending.tried.contains(&slot)) {
+        let (preferred, width) = self.group_servers(request.group);
+        for round in 0..MAX_DRAW_ROUNDS {
+            for nth in 0..draws + preferred.len() {
+                let Some(slot) = preferred.get(nth).copied().or_else(|| self.draw()) else {
+                    return Vec::new();
+                };
+                // Randomized checks run only once per server and pick.
+                if seen.contains(&slot) || (round + 1 < MAX_DRAW_ROUNDS && request.last_tried.contains(&slot))
+                {
                     continue;
                 }
                 seen.push(slot);
-                if self.may_run_on(pending, slot) && !self.full(slot) {
-                    let known = first.iter().position(|host| *host == slot);
-                    let credit = known.map_or(0.0, |at| {
-                        GROUP_CREDIT * GROUP_FADE.powi((at + 1).saturating_sub(wide) as i32)
-                    }) + if prefers { self.zone_credit(slot) } else { 0.0 };
-                    let mute = self.reports.mute(self.now, self.servers[slot].id);
-                    drawn.push((self.load(slot) + if mute { MUTE } else { -credit }, slot));
+                if self.may_run_on(request, slot) && !self.is_full(slot) {
+                    let group_rank = preferred.iter().position(|server| *server == slot);
+                    let credit = group_rank.map_or(0.0, |rank| {
+                        GROUP_CREDIT_CONNECTIONS
+                            * GROUP_CREDIT_DECAY_RATIO.powi((rank + 1).saturating_sub(width) as i32)
+                    }) + if prefers_zone { self.zone_credit(slot) } else { 0.0 };
+                    let unresponsive = self.reports.mute(self.now, self.servers[slot].id);
+                    drawn.push((
+                        self.connections_per_weight(slot)
+                            + if unresponsive { UNRESPONSIVE_PENALTY_CONNECTIONS } else { -credit },
+                        slot,
+                    ));
                 }
             }
-            // A cold one is let by its budget once it would be sent to: nearly every pick draws it.
+            // The slow-start budget is only checked for servers that would be picked: nearly every pick
+            // draws a server in slow start.
             while !drawn.is_empty() {
-                let mut best = self.best_of(&drawn, pending.group);
+                let mut best = self.least_loaded(&drawn, request.group);
                 let share = 1.0 / best.len() as f64;
-                let mut asked = best.clone();
-                asked.sort_unstable();
-                asked.dedup();
-                asked.retain(|slot| !self.cold_allows(*slot, share));
-                drawn.retain(|d| !asked.contains(&d.1));
-                best.retain(|slot| !asked.contains(slot));
+                let mut denied = best.clone();
+                denied.sort_unstable();
+                denied.dedup();
+                denied.retain(|slot| !self.slow_start_allows(*slot, share));
+                drawn.retain(|d| !denied.contains(&d.1));
+                best.retain(|slot| !denied.contains(slot));
                 if !best.is_empty() {
                     return best;
                 }
@@ -428,62 +457,76 @@
         Vec::new()
     }
 
-    /// Some with the least connections, by chance in proportion to weight.
-    fn best_of(&mut self, drawn: &[(f64, usize)], group: u64) -> Vec<usize> {
+    /// Returns some of the drawn servers with the lowest count, chosen at random in proportion to weight.
+    fn least_loaded(&mut self, drawn: &[(f64, usize)], group: u64) -> Vec<usize> {
         let least = drawn.iter().map(|d| d.0).fold(f64::INFINITY, f64::min);
         let drawn: Vec<_> = drawn.iter().filter(|d| d.0 == least).collect();
-        // The order of a group's hosts goes by weight already.
+        // The order of a group's servers already accounts for weight.
         let weight = |d: &&(f64, usize)| if group == 0 { self.servers[d.1].weight } else { 1.0 };
         let weights: Vec<_> = drawn.iter().map(weight).collect();
-        // One that is chosen twice stays so: it is asked once, and has two chances.
-        (0..ASKED).filter_map(|_| by_share(&weights, self.uniform())).map(|at| drawn[at].1).collect()
+        // Duplicates stay: such a server is probed once and has twice the chance.
+        (0..MAX_CANDIDATE_COUNT)
+            .filter_map(|_| by_share(&weights, self.uniform()))
+            .map(|at| drawn[at].1)
+            .collect()
     }
 
-    /// The hosts where a group goes first, in the order in which all nodes find them, and how many of
-    /// them are for its share; none for no group.
-    fn group_first(&mut self, group: u64) -> (Vec<usize>, usize) {
+    /// Returns the preferred servers of a group, in an order that is the same at all nodes, and how many of
+    /// them correspond to the group's share of the fleet; none without a group.
+    fn group_servers(&mut self, group: u64) -> (Vec<usize>, usize) {
         if group == 0 {
             return (Vec::new(), 0);
         }
         let uniform = self.uniform();
-        let wide = self.groups.width(group, self.pickable.len(), uniform);
-        let of = |slot: &usize| (self.servers[*slot].id.0, self.servers[*slot].weight, *slot);
-        (marllink_affinity::first(group, self.pickable.iter().map(of), wide + GROUP_MORE), wide)
+        let width = self.group_sizes.width(group, self.pickable.len(), uniform);
+        let server = |slot: &usize| (self.servers[*slot].id.0, self.servers[*slot].weight, *slot);
+        (
+            marllink_affinity::first(
+                group,
+                self.pickable.iter().map(server),
+                width + GROUP_EXTRA_SERVER_COUNT,
+            ),
+            width,
+        )
     }
 
-    /// The pick among them: by chance in proportion to the square of the room that they have. The one with
-    /// most room would be the same for all nodes, as reports are a second old, and be overrun.
-    fn pick(&mut self, pending: &Pending) -> Option<usize> {
-        let room = |slot: &usize| {
+    /// Picks one of the candidates at random, in proportion to the square of their spare capacity. The one
+    /// with the most would be the same for all nodes, as reports are about a second old, and would be
+    /// overrun.
+    fn pick(&mut self, request: &RequestState) -> Option<usize> {
+        let spare = |slot: &usize| {
             let (slot, id) = (*slot, self.servers[*slot].id);
-            let mute = pending.redrawn < MORE_DRAWS && self.reports.mute(self.now, id);
-            if self.servers[slot].place == NOWHERE || mute || !self.may_run_on(pending, slot) {
+            let unresponsive = request.redraws < MAX_REDRAW_COUNT && self.reports.mute(self.now, id);
+            if self.servers[slot].pickable_index == NO_INDEX
+                || unresponsive
+                || !self.may_run_on(request, slot)
+            {
                 return 0.0;
             }
             let known = self.reports.known(self.now, id).is_some();
-            let load = if known { self.load_now(slot) } else { UNKNOWN_LOAD };
-            if load >= BUSY_LOAD { 0.0 } else { (OVER_LOAD - load).powi(2) }
+            let load = if known { self.current_load(slot) } else { UNKNOWN_LOAD_RATIO };
+            if load >= BUSY_LOAD_RATIO { 0.0 } else { (OVERLOAD_RATIO - load).powi(2) }
         };
-        let rooms: Vec<_> = pending.drawn.iter().map(room).collect();
-        by_share(&rooms, self.uniform()).map(|at| pending.drawn[at])
+        let shares: Vec<_> = request.candidates.iter().map(spare).collect();
+        by_share(&shares, self.uniform()).map(|at| request.candidates[at])
     }
 
-    /// First back: a server that the operators have put back gets one connection without a draw. They
-    /// see by that whether it serves, and draws may pass over it for long while it counts as the mean.
-    fn first_back(&mut self, pending: &Pending) -> Option<usize> {
-        let slots: Vec<_> = self.back.iter().filter_map(|id| self.index.get(id).copied()).collect();
+    /// Returns a server that came back from maintenance and should get one connection without a draw.
+    /// Operators see from that whether it serves; draws may skip it for long while it counts as the mean.
+    fn returned_server(&mut self, request: &RequestState) -> Option<usize> {
+        let slots: Vec<_> = self.returned.iter().filter_map(|id| self.slot_by_id.get(id).copied()).collect();
         slots.into_iter().find(|&slot| {
             let s = &self.servers[slot];
-            let out = s.open as usize - s.connections.len() - s.elsewhere.0 as usize;
-            s.place != NOWHERE
-                && out == 0
-                && self.may_run_on(pending, slot)
-                && !self.full(slot)
-                && self.cold_allows(slot, 1.0)
+            let pending_attempts = s.open as usize - s.connections.len() - s.predecessor_held.0 as usize;
+            s.pickable_index != NO_INDEX
+                && pending_attempts == 0
+                && self.may_run_on(request, slot)
+                && !self.is_full(slot)
+                && self.slow_start_allows(slot, 1.0)
         })
     }
 
-    /// A uniform draw over the servers that may be picked.
+    /// Draws one of the servers that may be picked, uniformly.
     fn draw(&mut self) -> Option<usize> {
         if self.pickable.is_empty() {
             return None;
@@ -494,327 +537,349 @@
 
     // ---- Health ---------------------------------------------------------------------------------
 
-    /// Outlier ejection: takes a server out of the ready set for a while.
-    fn eject(&mut self, slot: usize, for_ms: Millis, most: usize) {
-        let until = self.now + for_ms;
+    /// Outlier ejection: removes a server from the ready set for some time, unless `max_ejected` servers
+    /// are already ejected.
+    fn eject(&mut self, slot: usize, duration_ms: Millis, max_ejected: usize) {
+        let until = self.now + duration_ms;
         let server = &mut self.servers[slot];
-        if server.place == NOWHERE {
-            server.track.ejected_until = server.track.ejected_until.max(until);
+        if server.pickable_index == NO_INDEX {
+            server.history.ejected_until = server.history.ejected_until.max(until);
             return;
         }
-        if self.ejected.len() >= most {
+        if self.ejected.len() >= max_ejected {
             return;
         }
-        server.track.ejected_until = until;
-        let place = std::mem::replace(&mut server.place, NOWHERE);
-        self.pickable.swap_remove(place);
-        if let Some(moved) = self.pickable.get(place) {
-            self.servers[*moved].place = place;
+        server.history.ejected_until = until;
+        let index = std::mem::replace(&mut server.pickable_index, NO_INDEX);
+        self.pickable.swap_remove(index);
+        if let Some(moved) = self.pickable.get(index) {
+            self.servers[*moved].pickable_index = index;
         }
         self.ejected.push(slot);
     }
 
-    fn most_ejected(&self) -> usize {
-        (self.ready as f64 * MAX_EJECTED) as usize
+    fn max_ejected(&self) -> usize {
+        (self.ready_count as f64 * MAX_EJECTED_RATIO) as usize
     }
 
-    /// A server has failed: it is out for a while, unless as many are as `most`.
-    fn on_failure(&mut self, slot: usize, most: usize) {
+    /// Records a failure of a server and ejects it, unless `max_ejected` servers are already ejected.
+    fn on_failure(&mut self, slot: usize, max_ejected: usize) {
         let server = &mut self.servers[slot];
-        if self.now - server.track.last_failure_at < SAME_FAILURE_MS {
+        if self.now - server.history.last_failure_at < FAILURE_MERGE_MS {
             return;
         }
-        server.track.last_failure_at = self.now;
-        if self.now > server.track.ejected_until + FORGIVE_MS {
-            server.track.consecutive_failures = 0;
+        server.history.last_failure_at = self.now;
+        if self.now > server.history.ejected_until + FAILURE_RESET_MS {
+            server.history.consecutive_failures = 0;
         }
-        let for_ms = EJECT_MS * f64::from(1u32 << server.track.consecutive_failures.min(8));
-        server.track.consecutive_failures += 1;
-        let spread = 0.75 + 0.5 * self.uniform();
-        self.eject(slot, for_ms.min(MAX_EJECT_MS) * spread, most);
+        let duration_ms = EJECTION_MS * f64::from(1u32 << server.history.consecutive_failures.min(8));
+        server.history.consecutive_failures += 1;
+        let jitter = 0.75 + 0.5 * self.uniform();
+        self.eject(slot, duration_ms.min(MAX_EJECTION_MS) * jitter, max_ejected);
     }
 
-    /// A server that has fallen silent serves nobody: its clients find another sooner than it comes back.
-    fn on_silent(&mut self, id: ServerId, sign: Sign, out: &mut Vec<Action>) {
-        let Some(&slot) = self.index.get(&id) else { return };
-        match self.silence.note(self.now, id, sign) {
+    /// Moves all connections off a server that is unresponsive: its clients reach another server sooner than
+    /// it recovers.
+    fn on_unresponsive(&mut self, id: ServerId, symptom: Sign, actions: &mut Vec<Action>) {
+        let Some(&slot) = self.slot_by_id.get(&id) else { return };
+        match self.symptoms.note(self.now, id, symptom) {
             Verdict::Silent => {
                 let (zone, own) = (self.servers[slot].zone, self.servers[slot].connections.clone());
-                self.move_these(slot, own, out);
-                self.on_failure(slot, self.ready.saturating_sub(1));
-                let near = self.servers.iter().filter(|s| s.zone == zone && !s.connections.is_empty());
-                let near: Vec<_> = near.map(|s| s.id).collect();
-                near.into_iter().for_each(|id| self.on_silent(id, Sign::Neighbour, out));
+                self.move_connections(slot, own, actions);
+                self.on_failure(slot, self.ready_count.saturating_sub(1));
+                let neighbours = self.servers.iter().filter(|s| s.zone == zone && !s.connections.is_empty());
+                let neighbours: Vec<_> = neighbours.map(|s| s.id).collect();
+                neighbours.into_iter().for_each(|id| self.on_unresponsive(id, Sign::Neighbour, actions));
+            }
+            Verdict::Doubtful if self.may_probe() => {
+                self.handle_reports(ReportEvent::Doubted(id), actions);
             }
-            Verdict::Doubtful if self.may_ask() => self.ask(Asked::Doubted(id), out),
             Verdict::Doubtful | Verdict::Nothing => {}
         }
     }
 
-    /// A server on which messages are slow has more than it can do, be it slow, pausing or just
-    /// unlucky: new connections would only add to it, and if it lasts some must go.
-    fn on_delay(&mut self, request: RequestId, delay_ms: Millis, out: &mut Vec<Action>) {
-        let Some(pending) = self.requests.get(&request) else { return };
-        if pending.phase != Phase::Open {
+    /// Records a message delay. A server with slow messages is overloaded, whether it is slow, pausing or
+    /// overcommitted: new connections would make it worse, and if it lasts some connections must move.
+    fn on_message_delay(&mut self, id: RequestId, delay_ms: Millis, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id) else { return };
+        if request.phase != Phase::Open {
             return;
         }
-        let slot = pending.slot;
+        let slot = request.slot;
         let server = &mut self.servers[slot];
-        let excess = server.track.strain.note(self.now, delay_ms, self.slow_aim, f64::from(server.open));
-        let planted = self.variant.injected_bug == Some(InjectedBug::MoveWhenAllSlow);
-        self.move_some(slot, if planted { excess / marllink_rebalancing::MOVED_SHARE } else { excess }, out);
+        let excess =
+            server.history.strain.note(self.now, delay_ms, self.message_goal, f64::from(server.open));
+        let move_all = self.variant.injected_bug == Some(InjectedBug::MoveWhenAllSlow);
+        self.move_excess(
+            slot,
+            if move_all { excess / marllink_rebalancing::MOVED_SHARE } else { excess },
+            actions,
+        );
     }
 
-    /// True if a server must take nothing new: messages on it are slow, or it is at its limit.
-    fn full(&mut self, slot: usize) -> bool {
-        let some = self.uniform();
+    /// Returns true if a server must not receive new connections: its messages are slow, its reported load is
+    /// high, or it is at its limit.
+    fn is_full(&mut self, slot: usize) -> bool {
+        let uniform = self.uniform();
         let s = &self.servers[slot];
-        let mean = self.ready_open / self.warm_weight.max(f64::MIN_POSITIVE) * s.weight;
-        let bound = if self.may_ask() { NO_LIMIT } else { MEAN_BOUND * mean + 1.0 };
-        // Between whole numbers they hold on the mean over nodes and tries.
-        let room = s.track.strain.limit(self.now).min(bound) + some;
-        s.track.strain.hot(self.now) || self.load_now(slot) >= BUSY_LOAD || f64::from(s.open) + 1.0 > room
+        let mean = self.ready_open / self.available_weight.max(f64::MIN_POSITIVE) * s.weight;
+        let bound = if self.may_probe() { NO_LIMIT } else { MAX_MEAN_MULTIPLE * mean + 1.0 };
+        // A fractional limit holds on average over nodes and attempts.
+        let limit = s.history.strain.limit(self.now).min(bound) + uniform;
+        s.history.strain.hot(self.now)
+            || self.current_load(slot) >= BUSY_LOAD_RATIO
+            || f64::from(s.open) + 1.0 > limit
     }
 
-    fn may_ask(&self) -> bool {
+    fn may_probe(&self) -> bool {
         self.settings.reports_load()
     }
 
-    /// Asks servers with own connections for their load though no pick is due, as far as set-ups pay
-    /// for that: where message delays are not told, one that has too much is known by its report alone.
-    fn ask_due(&mut self, out: &mut Vec<Action>) {
-        if self.may_ask() {
+    /// Probes servers with own connections although no pick is due, within a budget that grows with set-ups:
+    /// where no message delays are reported, only load reports show that a server is overloaded.
+    fn review_loads(&mut self, actions: &mut Vec<Action>) {
+        if self.may_probe() {
             let own = |s: &&Server| s.state == ServerState::Ready && !s.connections.is_empty();
-            let hosts = self.servers.iter().filter(own).map(|s| s.id).collect();
-            self.ask(Asked::Review(hosts), out);
+            let servers = self.servers.iter().filter(own).map(|s| s.id).collect();
+            self.handle_reports(ReportEvent::Review(servers), actions);
         }
     }
 
-    fn ask(&mut self, event: Asked<ServerId, ReportedLoad>, out: &mut Vec<Action>) {
+    /// Passes an event to the load reports and carries out the resulting commands.
+    fn handle_reports(&mut self, event: ReportEvent<ServerId, ReportedLoad>, actions: &mut Vec<Action>) {
         let mut commands = Vec::new();
         self.reports.handle(self.now, event, &mut commands);
         for command in commands {
             match command {
-                Command::Ask(id) => out.push(Action::Probe(id)),
-                Command::Go(id) => self.go(RequestId(id), out),
+                Command::Ask(id) => actions.push(Action::Probe(id)),
+                Command::Go(id) => self.pick_and_send(RequestId(id), actions),
             }
         }
     }
 
-    /// Takes a server's report of its load over what it can do.
-    fn on_report(&mut self, id: ServerId, ok: bool, report: &[f32], out: &mut Vec<Action>) {
-        let Some(&slot) = self.index.get(&id) else { return };
-        let at = self.settings.report_fields.iter().position(|f| *f == ReportField::Utilization);
-        let load = at.filter(|_| ok).and_then(|at| report.get(at)).map(|x| f64::from(*x));
+    /// Handles the result of a load probe.
+    fn on_probe_result(&mut self, id: ServerId, ok: bool, report: &[f32], actions: &mut Vec<Action>) {
+        let Some(&slot) = self.slot_by_id.get(&id) else { return };
+        let index = self.settings.report_fields.iter().position(|f| *f == ReportField::Utilization);
+        let load = index.filter(|_| ok).and_then(|index| report.get(index)).map(|x| f64::from(*x));
         let server = &self.servers[slot];
         let held = self.settings.report_fields.iter().position(|f| *f == ReportField::InFlight);
-        let held = held.and_then(|at| report.get(at)).map_or(0.0, |x| f64::from(*x));
-        let (own, own_load) = server.loads[REPORT_AGE - 1];
-        let told = load.map(|load| ReportedLoad { load, own_load: own_load });
-        ok.then(|| self.silence.heard(id));
+        let held = held.and_then(|index| report.get(index)).map_or(0.0, |x| f64::from(*x));
+        let (own, own_load) = server.own_history[REPORT_AGE_PERIODS - 1];
+        let reported = load.map(|load| ReportedLoad { load, own_load });
+        ok.then(|| self.symptoms.heard(id));
         if let Some(load) = load {
             self.fleet.capacity.learn(&Held { weight: server.weight, load, held, own, own_load });
         }
-        self.ask(Asked::Answered { host: id, report: told }, out);
+        self.handle_reports(ReportEvent::Answered { host: id, report: reported }, actions);
     }
 
-    /// A server's load over what it can do as of now: as last reported, and what the own connections
-    /// have added or taken away since. A report alone is a second old or more, in which a burst can
-    /// fill a server that looks idle.
-    fn load_now(&self, slot: usize) -> f64 {
+    /// Returns a server's current load as a ratio of its capacity: the last reported load, corrected by the
+    /// change of the own connections since then. The report alone is a second old or more, enough for a
+    /// burst to fill a server that appears idle.
+    fn current_load(&self, slot: usize) -> f64 {
         let s = &self.servers[slot];
-        let Some(told) = self.reports.known(self.now, s.id) else { return 0.0 };
+        let Some(reported) = self.reports.known(self.now, s.id) else { return 0.0 };
         let capacity = self.fleet.capacity.load() * s.weight;
-        let since = if capacity > 0.0 { (s.load - told.own_load) / capacity } else { 0.0 };
-        told.load + since
+        let change = if capacity > 0.0 { (s.own_load - reported.own_load) / capacity } else { 0.0 };
+        reported.load + change
     }
 
-    /// Relieves servers that have more than they can do.
-    fn relieve_over(&mut self, out: &mut Vec<Action>) {
+    /// Records the own load of all servers and moves connections off overloaded ones.
+    fn rebalance_overloaded(&mut self, actions: &mut Vec<Action>) {
         for slot in 0..self.servers.len() {
             let server = &mut self.servers[slot];
-            server.loads.rotate_right(1);
-            let own = server.connections.len() as f64 + f64::from(server.elsewhere.0);
-            server.loads[0] = (own, server.load);
-            let due = own > 0.0 && server.track.next_rebalance_at <= self.now;
-            let load = if due { self.load_now(slot) } else { 0.0 };
-            if load >= OVER_LOAD {
-                self.servers[slot].track.next_rebalance_at = self.now + RELIEF_MS;
-                self.relieve(slot, 1.0 - BUSY_LOAD / load, out);
+            server.own_history.rotate_right(1);
+            let own = server.connections.len() as f64 + f64::from(server.predecessor_held.0);
+            server.own_history[0] = (own, server.own_load);
+            let due = own > 0.0 && server.history.next_rebalance_at <= self.now;
+            let load = if due { self.current_load(slot) } else { 0.0 };
+            if load >= OVERLOAD_RATIO {
+                self.servers[slot].history.next_rebalance_at = self.now + REBALANCE_INTERVAL_MS;
+                self.move_load_share(slot, 1.0 - BUSY_LOAD_RATIO / load, actions);
             }
         }
     }
 
-    /// What is left on a draining server when it stops is cut off, and when that is, is told nowhere.
-    fn leave_draining(&mut self, out: &mut Vec<Action>) {
+    /// Moves connections off draining servers, evenly over `DRAIN_MS`. Those left when a server stops are cut
+    /// off, and when it stops is not known.
+    fn move_off_draining(&mut self, actions: &mut Vec<Action>) {
         for slot in 0..self.servers.len() {
             let s = &self.servers[slot];
             if s.state == ServerState::Draining && !s.connections.is_empty() {
-                let part = TICK_MS / (s.leave_by - self.now).max(TICK_MS);
-                let count = s.connections.len() as f64 * part;
-                let at_once = self.variant.injected_bug == Some(InjectedBug::DrainAtLeastOne);
-                self.move_some(slot, if at_once { count.ceil() } else { count }, out);
+                let share = HOUSEKEEPING_MS / (s.drain_by - self.now).max(HOUSEKEEPING_MS);
+                let count = s.connections.len() as f64 * share;
+                let at_least_one = self.variant.injected_bug == Some(InjectedBug::DrainAtLeastOne);
+                self.move_excess(slot, if at_least_one { count.ceil() } else { count }, actions);
             }
         }
     }
 
-    /// Relief by load: moves own connections that make up this share of what they load the server with.
-    fn relieve(&mut self, slot: usize, share: f64, out: &mut Vec<Action>) {
-        let own = self.own_by_weight(slot);
-        let loads: Vec<_> = own.iter().map(|id| self.requests.get(id).map_or(0.0, |p| p.load)).collect();
+    /// Moves own connections that make up this share of the own load on a server.
+    fn move_load_share(&mut self, slot: usize, share: f64, actions: &mut Vec<Action>) {
+        let own = self.connections_by_load(slot);
+        let loads: Vec<_> = own.iter().map(|id| self.requests.get(id).map_or(0.0, |r| r.load)).collect();
         let chosen = relief(&loads, share, || self.uniform());
-        self.move_these(slot, chosen.into_iter().map(|at| own[at]).collect(), out);
+        self.move_connections(slot, chosen.into_iter().map(|at| own[at]).collect(), actions);
     }
 
-    /// Relief: moves some of the own connections away from a server that cannot carry them,
-    /// heaviest for its worth first, as those relieve it most for each client disturbed.
-    fn move_some(&mut self, slot: usize, excess: f64, out: &mut Vec<Action>) {
+    /// Moves this number of own connections off a server that can't carry them, those with the highest load
+    /// per value first: they free the most capacity per client disturbed.
+    fn move_excess(&mut self, slot: usize, excess: f64, actions: &mut Vec<Action>) {
         let count = whole(excess, self.uniform());
         if count == 0 {
             return;
         }
-        let chosen = self.own_by_weight(slot).into_iter().take(count).collect();
-        self.move_these(slot, chosen, out);
+        let chosen = self.connections_by_load(slot).into_iter().take(count).collect();
+        self.move_connections(slot, chosen, actions);
     }
 
-    /// The own connections of a server, the heaviest for its worth first, the newest of equals.
-    fn own_by_weight(&self, slot: usize) -> Vec<RequestId> {
+    /// Returns the own connections of a server by descending load per value, newest first among equals.
+    fn connections_by_load(&self, slot: usize) -> Vec<RequestId> {
         let mut own = Vec::with_capacity(self.servers[slot].connections.len());
-        for (at, id) in self.servers[slot].connections.iter().enumerate() {
-            let Some(pending) = self.requests.get(id) else { continue };
-            own.push((pending.load / self.worth(pending), at, *id));
+        for (age_rank, id) in self.servers[slot].connections.iter().enumerate() {
+            let Some(request) = self.requests.get(id) else { continue };
+            own.push((request.load / self.value(request), age_rank, *id));
         }
         own.sort_unstable_by(|a, b| b.0.total_cmp(&a.0).then(b.1.cmp(&a.1)));
         own.into_iter().map(|(_, _, id)| id).collect()
     }
 
-    fn move_these(&mut self, slot: usize, chosen: Vec<RequestId>, out: &mut Vec<Action>) {
+    fn move_connections(&mut self, slot: usize, chosen: Vec<RequestId>, actions: &mut Vec<Action>) {
         for id in chosen {
-            out.push(Action::Move(id));
-            // The request is over with that; its attempt still gets an end.
-            self.drop_connection(slot, id);
-            if let Some(pending) = self.requests.get_mut(&id) {
-                pending.phase = Phase::Over;
+            actions.push(Action::Move(id));
+            // The request needs no further answer, but its attempt has yet to end.
+            self.remove_connection(slot, id);
+            if let Some(request) = self.requests.get_mut(&id) {
+                request.phase = Phase::Finished;
             }
         }
     }
 
-    fn on_tick(&mut self, out: &mut Vec<Action>) {
-        // A timer that nobody set must not start a second chain of them. Clocks round.
-        if self.now < self.tick_at - 1.0 {
+    fn on_housekeeping(&mut self, actions: &mut Vec<Action>) {
+        // An unexpected timer event must not start a second chain of timers. The tolerance of 1 ms allows
+        // for clocks that round.
+        if self.now < self.housekeeping_at - 1.0 {
             return;
         }
-        self.tick_at = self.now + TICK_MS;
-        out.push(Action::SetTimer { delay_ms: TICK_MS, token: TICK });
-        let over = |slot: &usize| self.servers[*slot].track.ejected_until <= self.now;
-        let (back, out_yet): (Vec<_>, Vec<_>) = self.ejected.iter().partition(|slot| over(slot));
-        self.ejected = out_yet;
-        for slot in back {
-            self.servers[slot].place = self.pickable.len();
+        self.housekeeping_at = self.now + HOUSEKEEPING_MS;
+        actions.push(Action::SetTimer { delay_ms: HOUSEKEEPING_MS, token: HOUSEKEEPING_TIMER });
+        let expired = |slot: &usize| self.servers[*slot].history.ejected_until <= self.now;
+        let (readmitted, still_ejected): (Vec<_>, Vec<_>) =
+            self.ejected.iter().partition(|slot| expired(slot));
+        self.ejected = still_ejected;
+        for slot in readmitted {
+            self.servers[slot].pickable_index = self.pickable.len();
             self.pickable.push(slot);
         }
-        self.shares.review(self.now, self.total as f64, self.on_hot());
-        self.leave_draining(out);
-        self.relieve_over(out);
-        self.ask_due(out);
+        self.tenant_shares.review(self.now, self.connection_count as f64, self.connections_on_overloaded());
+        self.move_off_draining(actions);
+        self.rebalance_overloaded(actions);
+        self.review_loads(actions);
         if self.fleet.shortage.due(self.now) {
-            self.weigh_warm();
-            self.fleet.shortage.review(self.now, self.total as f64, self.on_hot());
+            self.update_available_weight();
+            self.fleet.shortage.review(
+                self.now,
+                self.connection_count as f64,
+                self.connections_on_overloaded(),
+            );
         }
-        self.retry_held(out);
+        self.retry_queued(actions);
     }
 
-    fn drop_connection(&mut self, slot: usize, id: RequestId) {
+    fn remove_connection(&mut self, slot: usize, id: RequestId) {
         let connections = &mut self.servers[slot].connections;
         if let Some(at) = connections.iter().position(|c| *c == id) {
-            // In order of age: of connections that seem alike the newest is moved first.
+            // Keeps the order by age: of equal connections the newest is moved first.
             connections.remove(at);
-            self.total -= 1;
-            let (load, tenant) = self.requests.get(&id).map_or((0.0, u16::MAX), |p| (p.load, p.tenant.0));
-            self.servers[slot].load -= load;
-            self.shares.closed(tenant);
+            self.connection_count -= 1;
+            let (load, tenant) = self.requests.get(&id).map_or((0.0, u16::MAX), |r| (r.load, r.tenant.0));
+            self.servers[slot].own_load -= load;
+            self.tenant_shares.closed(tenant);
         }
     }
 
-    /// Own connections on servers that have more than they can do: what tells a general overload.
-    fn on_hot(&self) -> f64 {
-        let hot = |slot: &usize| {
-            self.servers[*slot].track.strain.hot(self.now) || self.load_now(*slot) >= OVER_LOAD
+    /// Returns the number of own connections on overloaded servers, which indicates a general overload.
+    fn connections_on_overloaded(&self) -> f64 {
+        let overloaded = |slot: &usize| {
+            self.servers[*slot].history.strain.hot(self.now) || self.current_load(*slot) >= OVERLOAD_RATIO
         };
         let own = (0..self.servers.len()).filter(|slot| !self.servers[*slot].connections.is_empty());
-        let hot = own.filter(hot).map(|slot| self.servers[slot].connections.len());
-        hot.sum::<usize>() as f64
+        let counts = own.filter(overloaded).map(|slot| self.servers[slot].connections.len());
+        counts.sum::<usize>() as f64
     }
 
-    // ---- Cold budgets ---------------------------------------------------------------------------
+    // ---- Slow-start budgets ---------------------------------------------------------------------
 
-    /// True unless the server is cold and this node has sent its part. A cold server's capacity is
-    /// guessed from what this node sends to others of its weight; since each node measures by its
-    /// own traffic, unequal nodes together still keep to the multiple. `wanted` is this part of a connection.
-    fn cold_allows(&mut self, slot: usize, wanted: f64) -> bool {
-        let warmth = self.warmth(slot);
-        if warmth >= 1.0 {
+    /// Returns true unless the server is in slow start and this node has used up its budget for it. The
+    /// server's capacity is estimated from what this node sends to others of its weight. Each node measures
+    /// by its own traffic, so that nodes of unequal traffic together stay within the collapse ratio.
+    /// `wanted` is the part of a connection that would be sent.
+    fn slow_start_allows(&mut self, slot: usize, wanted: f64) -> bool {
+        let warmup = self.warmup(slot);
+        if warmup >= 1.0 {
             return true;
         }
-        let alone = self.variant.injected_bug == Some(InjectedBug::ColdBudgetNotDivided);
-        let nodes = if alone { 1.0 } else { f64::from(self.settings.nodes.max(1)) };
+        let undivided = self.variant.injected_bug == Some(InjectedBug::ColdBudgetNotDivided);
+        let nodes = if undivided { 1.0 } else { f64::from(self.settings.nodes.max(1)) };
         let uniform = self.uniform();
         let (rules, s) = (&self.settings.rules, &self.servers[slot]);
-        let idle = self.reports.known(self.now, s.id).is_some() && self.load_now(slot) < COLD_IDLE;
-        let margin = if idle { COLD_IDLE_MARGIN } else { COLD_MARGIN };
-        let most = rules.collapse_load_ratio * margin * self.capacity(slot) * s.weight;
+        let idle = self.reports.known(self.now, s.id).is_some()
+            && self.current_load(slot) < SLOW_START_IDLE_LOAD_RATIO;
+        let margin = if idle { SLOW_START_IDLE_MARGIN_RATIO } else { SLOW_START_MARGIN_RATIO };
+        let max_load = rules.collapse_load_ratio * margin * self.capacity_ratio(slot) * s.weight;
         let pace = Pace {
-            // What would fill the server in its time to warm up, as far as reports tell that: refused
-            // clients add nothing to the own rate. All nodes together send that much.
-            part: most * self.fleet.capacity.connections() / rules.warm_up_ms.max(1.0) / nodes,
-            usual: most * self.fleet.setup_rate.at(self.now),
-            lately: s.weight * self.burst.at(self.now),
+            // This node's part of what fills the server within its warm-up time, as far as reports tell:
+            // rejected clients do not count in the own rate.
+            part: max_load * self.fleet.capacity.connections() / rules.warm_up_ms.max(1.0) / nodes,
+            usual: max_load * self.fleet.setup_rate.at(self.now),
+            lately: s.weight * self.burst_rate.at(self.now),
             window_ms: rules.collapse_after_ms,
             wanted,
         };
-        self.servers[slot].track.budget.allows(self.now, &pace, uniform)
+        self.servers[slot].history.budget.allows(self.now, &pace, uniform)
     }
 
-    // ---- Request life ---------------------------------------------------------------------------
+    // ---- Request lifecycle ----------------------------------------------------------------------
 
-    fn effect(&self, class: ClassId) -> Effect {
+    fn idempotency(&self, class: ClassId) -> Effect {
         self.settings.classes.get(usize::from(class.0)).map_or(Effect::Safe, |c| c.idempotency)
     }
 
-    /// By class, and whether its tenant is above its share.
-    fn worth(&self, pending: &Pending) -> f64 {
-        let above = self.shares.above(pending.tenant.0, 0.0);
-        let worth = self.settings.classes.get(usize::from(pending.class.0)).map_or(1.0, |c| c.value);
-        (worth * if above { self.settings.over_quota_value_ratio } else { 1.0 }).max(0.01)
+    /// Returns the value of a request, by its class and whether its tenant is above its quota.
+    fn value(&self, request: &RequestState) -> f64 {
+        let above_quota = self.tenant_shares.above(request.tenant.0, 0.0);
+        let value = self.settings.classes.get(usize::from(request.class.0)).map_or(1.0, |c| c.value);
+        (value * if above_quota { self.settings.over_quota_value_ratio } else { 1.0 }).max(0.01)
     }
 
-    fn aim(&self, class: ClassId) -> Millis {
+    fn setup_goal(&self, class: ClassId) -> Millis {
         self.settings.classes.get(usize::from(class.0)).map_or(0.0, |c| c.setup_goal_ms)
     }
 
-    fn on_request(&mut self, new: &NewRequest, out: &mut Vec<Action>) {
+    fn on_request(&mut self, new: &NewRequest, actions: &mut Vec<Action>) {
         if self.requests.contains_key(&new.request) {
             return;
         }
-        let pending = self.pending(new, NOWHERE);
-        self.groups.seen(pending.group);
-        self.retries.first(self.now);
-        self.attempt(new.request, pending, out);
+        let request = self.new_request_state(new, NO_INDEX);
+        self.group_sizes.seen(request.group);
+        self.retry_limiter.first(self.now);
+        self.attempt(new.request, request, actions);
     }
 
-    fn pending(&self, new: &NewRequest, slot: usize) -> Pending {
-        Pending {
+    fn new_request_state(&self, new: &NewRequest, slot: usize) -> RequestState {
+        RequestState {
             class: new.class,
             tenant: new.tenant,
             group: if self.settings.group_affinity { new.group } else { 0 },
-            phase: Phase::Held,
-            tried: [NOWHERE; 2],
-            erred: Vec::new(),
-            drawn: Vec::new(),
-            redrawn: 0,
-            again_at: self.now,
+            phase: Phase::Queued,
+            last_tried: [NO_INDEX; 2],
+            errored: Vec::new(),
+            candidates: Vec::new(),
+            redraws: 0,
+            retry_at: self.now,
             slot,
-            arrived: self.now,
+            arrived_at: self.now,
             deadline: self.now + new.time_left_ms.max(0.0),
             sent_at: self.now,
             attempts: 0,
@@ -823,13 +888,13 @@
         }
     }
 
-    fn on_open(&mut self, new: &NewRequest, server: ServerId) {
+    fn on_open_connection(&mut self, new: &NewRequest, server: ServerId) {
         if self.requests.contains_key(&new.request) {
             return;
         }
-        let slot = match self.index.get(&server) {
+        let slot = match self.slot_by_id.get(&server) {
             Some(slot) => *slot,
-            // Not in the list any more: remembered for its count alone, never sent to.
+            // No longer listed: added only to count the connection, and never picked.
             None => self.add_server(&ServerEntry {
                 server,
                 zone: self.settings.zone,
@@ -840,138 +905,144 @@
             }),
         };
         let (phase, deadline, attempts) = (Phase::Open, f64::INFINITY, 1);
-        let pending = Pending { phase, deadline, attempts, ..self.pending(new, slot) };
-        self.groups.seen(pending.group);
+        let request = RequestState { phase, deadline, attempts, ..self.new_request_state(new, slot) };
+        self.group_sizes.seen(request.group);
         self.add_open(slot, 1);
         self.servers[slot].connections.push(new.request);
-        self.shares.opened(new.tenant.0);
-        self.total += 1;
-        self.requests.insert(new.request, pending);
+        self.tenant_shares.opened(new.tenant.0);
+        self.connection_count += 1;
+        self.requests.insert(new.request, request);
     }
 
-    /// May the next attempt go to this server?
-    fn may_run_on(&self, pending: &Pending, slot: usize) -> bool {
+    /// Returns true if the next attempt may go to this server.
+    fn may_run_on(&self, request: &RequestState, slot: usize) -> bool {
         let server = &self.servers[slot];
-        self.effect(pending.class).may_run_on(self.now, pending.ran, server.zone.0, server.cell.0)
+        self.idempotency(request.class).may_run_on(self.now, request.ran, server.zone.0, server.cell.0)
     }
 
-    /// Draws servers for the next attempt and asks for their load, or holds the request, or gives its
+    /// Draws candidates for the next attempt and probes their load, or queues the request, or gives its
     /// final answer.
-    fn attempt(&mut self, id: RequestId, mut pending: Pending, out: &mut Vec<Action>) {
-        let (left, uniform) = (pending.deadline - self.now, self.uniform());
-        let tries_left = self.settings.limits.max_attempts.saturating_sub(pending.attempts);
-        let over = left < LEAST_LEFT_MS
-            || tries_left == 0
-            || !self.effect(pending.class).may_repeat(self.now, pending.ran);
-        let above = self.shares.refuses(self.now, pending.tenant.0);
-        if over || above || self.throttled(&pending) || self.fleet.shortage.full(self.total, uniform) {
-            self.answer(id, &pending, out);
+    fn attempt(&mut self, id: RequestId, mut request: RequestState, actions: &mut Vec<Action>) {
+        let (time_left, uniform) = (request.deadline - self.now, self.uniform());
+        let attempts_left = self.settings.limits.max_attempts.saturating_sub(request.attempts);
+        let finished = time_left < MIN_TIME_LEFT_MS
+            || attempts_left == 0
+            || !self.idempotency(request.class).may_repeat(self.now, request.ran);
+        let over_quota = self.tenant_shares.refuses(self.now, request.tenant.0);
+        if finished
+            || over_quota
+            || self.throttled(&request)
+            || self.fleet.shortage.full(self.connection_count, uniform)
+        {
+            self.answer(id, &request, actions);
             return;
         }
-        pending.drawn = self.draw_some(&pending);
-        let hosts: Vec<_> = pending.drawn.iter().map(|slot| self.servers[*slot].id).collect();
-        pending.phase = Phase::Asking;
-        self.requests.insert(id, pending);
-        if hosts.is_empty() || !self.may_ask() || left < 2.0 * TICK_MS {
-            self.go(id, out);
+        request.candidates = self.draw_candidates(&request);
+        let servers: Vec<_> = request.candidates.iter().map(|slot| self.servers[*slot].id).collect();
+        request.phase = Phase::Probing;
+        self.requests.insert(id, request);
+        if servers.is_empty() || !self.may_probe() || time_left < 2.0 * HOUSEKEEPING_MS {
+            self.pick_and_send(id, actions);
             return;
         }
-        self.ask(Asked::Wanted { pick: id.0, hosts }, out);
-        // Also where others have asked already: their question may get no answer.
+        self.handle_reports(ReportEvent::Wanted { pick: id.0, hosts: servers }, actions);
+        // Also needed if other picks have sent the probes, which may stay without an answer.
         if self.reports.due().is_some() {
-            out.push(Action::SetTimer {
+            actions.push(Action::SetTimer {
                 delay_ms: self.settings.probe_settings().patience_ms,
-                token: PATIENCE,
+                token: PROBE_TIMER,
             });
         }
     }
 
-    /// Picks among what was drawn and sends the attempt, or draws again, or holds the request.
-    fn go(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        if self.requests.get(&id).is_none_or(|p| p.phase != Phase::Asking) {
+    /// Picks one of the candidates and sends the attempt, or draws again, or queues the request, or gives its
+    /// final answer.
+    fn pick_and_send(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        if self.requests.get(&id).is_none_or(|r| r.phase != Phase::Probing) {
             return;
         }
-        let mut pending = self.requests.remove(&id).expect("just seen");
-        let Some(slot) = self.pick(&pending) else {
-            if !pending.drawn.is_empty() && pending.redrawn < MORE_DRAWS {
-                pending.redrawn += 1;
-                self.attempt(id, pending, out);
+        let mut request = self.requests.remove(&id).expect("checked above");
+        let Some(slot) = self.pick(&request) else {
+            if !request.candidates.is_empty() && request.redraws < MAX_REDRAW_COUNT {
+                request.redraws += 1;
+                self.attempt(id, request, actions);
                 return;
             }
-            // A list or a warmer server may come while the aim can still be met.
-            let give_up = (pending.arrived + self.aim(pending.class)).min(pending.deadline);
-            if self.now + 2.0 * TICK_MS > give_up {
-                self.answer(id, &pending, out);
+            // A list update or a server further through slow start may arrive while the goal can be met.
+            let give_up_at = (request.arrived_at + self.setup_goal(request.class)).min(request.deadline);
+            if self.now + 2.0 * HOUSEKEEPING_MS > give_up_at {
+                self.answer(id, &request, actions);
             } else {
-                (pending.phase, pending.redrawn) = (Phase::Held, 1);
-                self.requests.insert(id, pending);
-                self.held.push(id);
+                (request.phase, request.redraws) = (Phase::Queued, 1);
+                self.requests.insert(id, request);
+                self.queued.push(id);
             }
             return;
         };
-        let left = pending.deadline - self.now;
-        let tries_left = self.settings.limits.max_attempts.saturating_sub(pending.attempts);
-        // Half of the time stays for another server, unless the aim takes more or none may follow.
-        let another = tries_left > 1 && self.effect(pending.class) != Effect::Unsafe;
-        let timeout_ms = if another && left / 2.0 >= self.aim(pending.class) / 2.0 {
-            (left / 2.0).max(self.aim(pending.class)).min(left)
+        let time_left = request.deadline - self.now;
+        let attempts_left = self.settings.limits.max_attempts.saturating_sub(request.attempts);
+        // Reserves half of the time for another server, unless the goal needs more or no retry is possible.
+        let may_retry = attempts_left > 1 && self.idempotency(request.class) != Effect::Unsafe;
+        let timeout_ms = if may_retry && time_left / 2.0 >= self.setup_goal(request.class) / 2.0 {
+            (time_left / 2.0).max(self.setup_goal(request.class)).min(time_left)
         } else {
-            left
+            time_left
         };
-        out.push(Action::Send { request: id, server: self.servers[slot].id, timeout_ms });
+        actions.push(Action::Send { request: id, server: self.servers[slot].id, timeout_ms });
         self.add_open(slot, 1);
-        self.servers[slot].track.budget.spend();
-        self.burst.add(self.now, self.per_warm());
-        self.reports.handle(self.now, Asked::Used(self.servers[slot].id), &mut Vec::new());
-        self.retries.sent();
-        pending.phase = Phase::Trying;
-        pending.redrawn = 0;
-        pending.tried = [slot, pending.tried[0]];
-        pending.slot = slot;
-        pending.sent_at = self.now;
-        pending.attempts += 1;
-        self.requests.insert(id, pending);
+        self.servers[slot].history.budget.spend();
+        self.burst_rate.add(self.now, self.setup_per_weight());
+        self.reports.handle(self.now, ReportEvent::Used(self.servers[slot].id), &mut Vec::new());
+        self.retry_limiter.sent();
+        request.phase = Phase::Attempting;
+        request.redraws = 0;
+        request.last_tried = [slot, request.last_tried[0]];
+        request.slot = slot;
+        request.sent_at = self.now;
+        request.attempts += 1;
+        self.requests.insert(id, request);
     }
 
-    /// Throttle: refuses part of the attempts while many fail, as more of them only feed the cause.
-    fn throttled(&mut self, pending: &Pending) -> bool {
+    /// Returns true if this attempt is throttled: while many attempts fail, more of them only feed the cause.
+    fn throttled(&mut self, request: &RequestState) -> bool {
         let uniform = self.uniform();
-        if pending.redrawn > 0 || self.variant.injected_bug == Some(InjectedBug::RetryStorm) {
+        if request.redraws > 0 || self.variant.injected_bug == Some(InjectedBug::RetryStorm) {
             return false;
         }
-        let limit = if pending.attempts == 0 { Limiter::allows } else { Limiter::allows_again };
-        !limit(&mut self.retries, self.now, uniform)
+        let allows = if request.attempts == 0 { Limiter::allows } else { Limiter::allows_again };
+        !allows(&mut self.retry_limiter, self.now, uniform)
     }
 
-    /// The final answer when nothing more can be tried.
-    fn answer(&mut self, id: RequestId, pending: &Pending, out: &mut Vec<Action>) {
+    /// Gives the final answer when no further attempt is possible.
+    fn answer(&mut self, id: RequestId, request: &RequestState, actions: &mut Vec<Action>) {
         self.requests.remove(&id);
-        self.blame(&pending.erred, false);
+        self.attribute_errors(&request.errored, false);
         let retry_after_ms = self.retry_after();
-        out.push(self.refuse_or_fail(id, pending, retry_after_ms));
+        actions.push(self.reject_or_fail(id, request, retry_after_ms));
     }
 
-    /// Refused says that trying again is harmless: not where one may have run that must not run twice.
-    fn refuse_or_fail(&self, id: RequestId, pending: &Pending, retry_after_ms: Millis) -> Action {
-        let harmless = self.effect(pending.class).harmless(pending.ran);
+    /// Returns the final answer. A rejection states that a retry is harmless, so a request that must not run
+    /// twice fails instead if it may have run.
+    fn reject_or_fail(&self, id: RequestId, request: &RequestState, retry_after_ms: Millis) -> Action {
+        let harmless = self.idempotency(request.class).harmless(request.ran);
         if harmless { Action::Reject { request: id, retry_after_ms } } else { Action::Fail(id) }
     }
 
-    /// The final answer when nothing more can be waited for. An attempt that is out may run yet.
-    fn answer_now(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(pending) = self.requests.get_mut(&id) else { return };
-        if pending.phase == Phase::Trying {
-            let server = &self.servers[pending.slot];
-            let sent = Ran { at: pending.sent_at, zone: server.zone.0, cell: server.cell.0 };
-            pending.ran = pending.ran.or(Some(sent));
+    /// Gives the final answer when the node can't wait any longer. A pending attempt may still run.
+    fn answer_now(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        if request.phase == Phase::Attempting {
+            let server = &self.servers[request.slot];
+            let sent = Ran { at: request.sent_at, zone: server.zone.0, cell: server.cell.0 };
+            request.ran = request.ran.or(Some(sent));
         }
-        if !matches!(pending.phase, Phase::Open | Phase::Over) {
-            out.push(self.refuse_or_fail(id, &self.requests[&id], 0.0));
-            self.on_client_gone(id, out);
+        if !matches!(request.phase, Phase::Open | Phase::Finished) {
+            actions.push(self.reject_or_fail(id, &self.requests[&id], 0.0));
+            self.on_client_gone(id, actions);
         }
     }
 
-    /// When a refused client should come again; 0 where clients are not told.
+    /// Returns the retry-after delay for a rejected client; 0 if clients receive none.
     fn retry_after(&mut self) -> Millis {
         if !self.settings.limits.retry_after {
             return 0.0;
@@ -979,135 +1050,139 @@
         (RETRY_AFTER_MS * (0.5 + self.uniform())).min(self.settings.limits.max_retry_after_ms)
     }
 
-    fn retry_held(&mut self, out: &mut Vec<Action>) {
-        for id in std::mem::take(&mut self.held) {
-            // A held request may have been withdrawn meanwhile.
-            let Some(pending) = self.requests.get(&id).filter(|p| p.phase == Phase::Held) else { continue };
-            if pending.again_at > self.now {
-                self.held.push(id);
+    fn retry_queued(&mut self, actions: &mut Vec<Action>) {
+        for id in std::mem::take(&mut self.queued) {
+            // A queued request may have been withdrawn in the meantime.
+            let Some(request) = self.requests.get(&id).filter(|r| r.phase == Phase::Queued) else { continue };
+            if request.retry_at > self.now {
+                self.queued.push(id);
             } else {
-                let pending = self.requests.remove(&id).expect("just seen");
-                self.attempt(id, pending, out);
+                let request = self.requests.remove(&id).expect("checked above");
+                self.attempt(id, request, actions);
             }
         }
     }
 
     fn on_established(&mut self, id: RequestId, attempt: AttemptNo) {
-        let Some(pending) = self.requests.get_mut(&id) else { return };
-        if pending.phase != Phase::Trying || pending.attempts != attempt.0.wrapping_add(1) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        if request.phase != Phase::Attempting || request.attempts != attempt.0.wrapping_add(1) {
             return;
         }
-        pending.phase = Phase::Open;
-        self.shares.opened(pending.tenant.0);
-        let erred = std::mem::take(&mut pending.erred);
-        let slot = pending.slot;
+        request.phase = Phase::Open;
+        self.tenant_shares.opened(request.tenant.0);
+        let errored = std::mem::take(&mut request.errored);
+        let slot = request.slot;
         let server = &mut self.servers[slot];
-        self.back.remove(&server.id);
+        self.returned.remove(&server.id);
         server.connections.push(id);
-        server.load += pending.load;
-        self.total += 1;
-        let took_ms = self.now - pending.sent_at;
-        // Where loads are told they say more, and a set-up across zones may take as long on a sound host.
-        let aim = if self.may_ask() { f64::INFINITY } else { self.slow_aim };
+        server.own_load += request.load;
+        self.connection_count += 1;
+        let took_ms = self.now - request.sent_at;
+        // Load reports are more accurate where they exist, and a set-up across zones may be slow although
+        // the server is healthy.
+        let goal = if self.may_probe() { f64::INFINITY } else { self.message_goal };
         let server = &mut self.servers[slot];
-        server.track.strain.came_up(self.now, took_ms, aim, f64::from(server.open));
-        self.retries.stood(self.now, took_ms);
-        self.reports.handle(self.now, Asked::Paid, &mut Vec::new());
-        self.fleet.setup_rate.add(self.now, self.per_warm());
-        self.blame(&erred, true);
+        server.history.strain.came_up(self.now, took_ms, goal, f64::from(server.open));
+        self.retry_limiter.stood(self.now, took_ms);
+        self.reports.handle(self.now, ReportEvent::Paid, &mut Vec::new());
+        self.fleet.setup_rate.add(self.now, self.setup_per_weight());
+        self.attribute_errors(&errored, true);
     }
 
-    /// Tells whose fault errors were, once that is known. A request that errs wherever it goes is
-    /// itself at fault: its servers must not be left out for it, and it counts as one failure.
-    fn blame(&mut self, erred: &[usize], stood: bool) {
-        if stood || erred.len() == 1 {
-            self.retries.failed(self.now, erred.len() as f64);
-            erred.iter().for_each(|slot| self.on_failure(*slot, self.most_ejected()));
-        } else if !erred.is_empty() {
-            self.retries.failed(self.now, 1.0);
+    /// Attributes the errors of a request once their cause is known. A request that errs at every server is
+    /// itself the cause: its servers must not be ejected for it, and it counts as one failure.
+    fn attribute_errors(&mut self, errored: &[usize], established: bool) {
+        if established || errored.len() == 1 {
+            self.retry_limiter.failed(self.now, errored.len() as f64);
+            errored.iter().for_each(|slot| self.on_failure(*slot, self.max_ejected()));
+        } else if !errored.is_empty() {
+            self.retry_limiter.failed(self.now, 1.0);
         }
     }
 
-    fn on_ended(
+    fn on_attempt_ended(
         &mut self,
         id: RequestId,
         attempt: AttemptNo,
         outcome: Outcome,
         closed: bool,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
-        let Some(pending) = self.requests.get(&id) else { return };
-        if matches!(pending.phase, Phase::Held | Phase::Asking)
-            || pending.attempts != attempt.0.wrapping_add(1)
+        let Some(request) = self.requests.get(&id) else { return };
+        if matches!(request.phase, Phase::Queued | Phase::Probing)
+            || request.attempts != attempt.0.wrapping_add(1)
         {
             return;
         }
-        let slot = pending.slot;
-        self.drop_connection(slot, id);
-        let Some(mut pending) = self.requests.remove(&id) else { return };
+        let slot = request.slot;
+        self.remove_connection(slot, id);
+        let Some(mut request) = self.requests.remove(&id) else { return };
         self.add_open(slot, -1);
         match outcome {
             Outcome::Ok | Outcome::Cancelled | Outcome::NotSent => {}
-            Outcome::Error | Outcome::Reset if pending.phase == Phase::Trying => {
-                if !pending.erred.contains(&slot) {
-                    pending.erred.push(slot);
+            Outcome::Error | Outcome::Reset if request.phase == Phase::Attempting => {
+                if !request.errored.contains(&slot) {
+                    request.errored.push(slot);
                 }
             }
-            // Nobody is there: that is no cause which servers share, and all but one may be out for it.
-            Outcome::ConnectFailed => self.on_failure(slot, self.ready.saturating_sub(1)),
+            // Nothing listens there. Servers do not share such a cause, so all but one may be ejected.
+            Outcome::ConnectFailed => self.on_failure(slot, self.ready_count.saturating_sub(1)),
             Outcome::Error | Outcome::Full | Outcome::TimedOut | Outcome::Reset => {
-                self.retries.failed(self.now, f64::from(u8::from(pending.phase == Phase::Trying)));
-                self.on_failure(slot, self.most_ejected());
+                self.retry_limiter.failed(self.now, f64::from(u8::from(request.phase == Phase::Attempting)));
+                self.on_failure(slot, self.max_ejected());
             }
         }
-        if closed || pending.phase == Phase::Over {
-            self.blame(&pending.erred, false);
+        if closed || request.phase == Phase::Finished {
+            self.attribute_errors(&request.errored, false);
             return;
         }
-        if !outcome.never_ran() && pending.ran.is_none() {
+        if !outcome.never_ran() && request.ran.is_none() {
             let server = &self.servers[slot];
-            pending.ran = Some(Ran { at: pending.sent_at, zone: server.zone.0, cell: server.cell.0 });
+            request.ran = Some(Ran { at: request.sent_at, zone: server.zone.0, cell: server.cell.0 });
         }
-        if pending.phase == Phase::Open && outcome != Outcome::Ok {
-            // A broken stream has ended for its client; nothing may follow it.
-            out.push(Action::Fail(id));
+        if request.phase == Phase::Open && outcome != Outcome::Ok {
+            // A broken stream has ended for its client: no retry may follow.
+            actions.push(Action::Fail(id));
             return;
         }
-        // A break says less: the network may cut off several attempts running.
-        if outcome == Outcome::Error && pending.erred.len() >= MOST_ERRORS {
-            self.answer(id, &pending, out);
+        // Resets count less: the network may break several attempts in a row.
+        if outcome == Outcome::Error && request.errored.len() >= MAX_ERROR_COUNT {
+            self.answer(id, &request, actions);
             return;
         }
-        let wait = Limiter::wait_ms(usize::from(pending.attempts), self.uniform());
-        let storm = self.variant.injected_bug == Some(InjectedBug::RetryStorm);
-        if wait > TICK_MS && self.now + wait + 2.0 * TICK_MS < pending.deadline && !storm {
-            pending.phase = Phase::Held;
-            pending.again_at = self.now + wait;
-            self.requests.insert(id, pending);
-            self.held.push(id);
+        let wait = Limiter::wait_ms(usize::from(request.attempts), self.uniform());
+        let retry_at_once = self.variant.injected_bug == Some(InjectedBug::RetryStorm);
+        if wait > HOUSEKEEPING_MS
+            && self.now + wait + 2.0 * HOUSEKEEPING_MS < request.deadline
+            && !retry_at_once
+        {
+            request.phase = Phase::Queued;
+            request.retry_at = self.now + wait;
+            self.requests.insert(id, request);
+            self.queued.push(id);
             return;
         }
-        self.attempt(id, pending, out);
+        self.attempt(id, request, actions);
     }
 
-    fn on_client_gone(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(pending) = self.requests.get_mut(&id) else { return };
-        match pending.phase {
-            Phase::Held | Phase::Asking => {
-                let erred = std::mem::take(&mut pending.erred);
+    fn on_client_gone(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        match request.phase {
+            Phase::Queued | Phase::Probing => {
+                let errored = std::mem::take(&mut request.errored);
                 self.requests.remove(&id);
-                self.reports.handle(self.now, Asked::Withdrawn(id.0), &mut Vec::new());
-                self.blame(&erred, false);
+                self.reports.handle(self.now, ReportEvent::Withdrawn(id.0), &mut Vec::new());
+                self.attribute_errors(&errored, false);
             }
-            Phase::Trying | Phase::Open => {
-                // Work for a client that has left serves nobody.
-                if pending.phase == Phase::Trying && self.settings.limits.cancel {
-                    let attempt = AttemptNo(pending.attempts - 1);
-                    out.push(Action::Cancel { request: id, attempt });
+            Phase::Attempting | Phase::Open => {
+                // Work for a client that has disconnected is wasted.
+                if request.phase == Phase::Attempting && self.settings.limits.cancel {
+                    let attempt = AttemptNo(request.attempts - 1);
+                    actions.push(Action::Cancel { request: id, attempt });
                 }
-                pending.phase = Phase::Over;
+                request.phase = Phase::Finished;
             }
-            Phase::Over => {}
+            Phase::Finished => {}
         }
     }
 }
--- a/src/decide/membership.rs
+++ b/src/decide/membership.rs
@@ -1,68 +1,68 @@
-//! Which servers there are, by the list and by the operators, and what follows for the sums that picks are made by.
-//! Nothing is decided about a request here.
+//! The set of servers, from the server list and from operators, and the sums that picks are based on.
+//! Contains no decisions about requests.
 
-use super::{ASK, Balancer, LEAVE_MS, NOWHERE, REPORT_AGE, Server};
+use super::{Balancer, DRAIN_MS, LIST_TIMER, NO_INDEX, REPORT_AGE_PERIODS, Server};
 use crate::draws::draw_count;
 use crate::interface::*;
 use marllink_rate_limits::{Budget, calls};
-use marllink_server_state::Event as Asked;
+use marllink_server_state::Event as ReportEvent;
 use rustc_hash::FxHashMap;
 
 impl Balancer {
-    pub(super) fn on_list(&mut self, kind: ListKind, entries: &[ServerEntry], out: &mut Vec<Action>) {
+    pub(super) fn on_list(&mut self, kind: ListKind, entries: &[ServerEntry], actions: &mut Vec<Action>) {
         match kind {
             ListKind::Failed => {
                 let delay_ms = calls::again(self.uniform());
-                out.push(Action::SetTimer { delay_ms, token: ASK });
+                actions.push(Action::SetTimer { delay_ms, token: LIST_TIMER });
                 return;
             }
             ListKind::Cached => {
                 if self.settings.discovery == Discovery::Pull {
                     let (nodes, within) = (self.settings.nodes, self.settings.rules.fetch_within_ms);
                     let delay_ms = calls::first(nodes, within, self.uniform());
-                    out.push(Action::SetTimer { delay_ms, token: ASK });
+                    actions.push(Action::SetTimer { delay_ms, token: LIST_TIMER });
                 }
             }
             ListKind::Delta | ListKind::Full => {}
         }
         if kind != ListKind::Delta {
-            // A server that a whole list leaves out is gone.
+            // A server missing from a complete list is gone.
             let listed: FxHashMap<ServerId, ()> = entries.iter().map(|e| (e.server, ())).collect();
             for slot in 0..self.servers.len() {
                 if !listed.contains_key(&self.servers[slot].id) {
-                    self.servers[slot].listed = ServerState::Gone;
+                    self.servers[slot].listed_state = ServerState::Gone;
                 }
             }
         }
         for entry in entries {
-            self.take_entry(entry);
+            self.apply_entry(entry);
         }
-        self.count_ready();
-        self.retry_held(out);
+        self.rebuild_ready_set();
+        self.retry_queued(actions);
     }
 
-    fn take_entry(&mut self, entry: &ServerEntry) {
-        let slot = match self.index.get(&entry.server) {
+    fn apply_entry(&mut self, entry: &ServerEntry) {
+        let slot = match self.slot_by_id.get(&entry.server) {
             Some(slot) => *slot,
             None if entry.state == ServerState::Gone => return,
             None => self.add_server(entry),
         };
-        // Each node starts somewhere in its budget for a cold server, so that all nodes together
-        // start at the middle of it rather than each with a whole connection.
+        // Each node starts at a random point of its slow-start budget, so that all nodes together start in
+        // the middle of theirs instead of each sending a whole connection.
         let budget = self.uniform();
         let server = &mut self.servers[slot];
-        if entry.started_at > server.track.started_at {
-            // What was known of the process before does not hold for the new one.
-            server.track.consecutive_failures = 0;
-            server.track.ejected_until = 0.0;
-            server.track.budget = Budget::new(budget, self.now);
+        if entry.started_at > server.history.started_at {
+            // Failures of the previous process do not apply to the new one.
+            server.history.consecutive_failures = 0;
+            server.history.ejected_until = 0.0;
+            server.history.budget = Budget::new(budget, self.now);
         }
         server.zone = entry.zone;
         server.cell = entry.cell;
-        server.listed = entry.state;
+        server.listed_state = entry.state;
         server.listed_weight = entry.weight;
-        // Put back by the operators after it was started, it counts from then.
-        server.track.started_at = server.track.started_at.max(entry.started_at);
+        // A server that returned from maintenance after this start counts as started at its return.
+        server.history.started_at = server.history.started_at.max(entry.started_at);
     }
 
     pub(super) fn add_server(&mut self, entry: &ServerEntry) -> usize {
@@ -71,19 +71,19 @@
             zone: entry.zone,
             cell: entry.cell,
             state: entry.state,
-            listed: entry.state,
+            listed_state: entry.state,
             listed_weight: entry.weight,
             weight: 1.0,
             open: 0,
             connections: Vec::new(),
-            elsewhere: (0, 0.0),
-            load: 0.0,
-            loads: [(0.0, 0.0); REPORT_AGE],
-            leave_by: f64::INFINITY,
-            place: NOWHERE,
-            track: ServerHistory { strain: Strain::new(self.now), ..ServerHistory::default() },
+            predecessor_held: (0, 0.0),
+            own_load: 0.0,
+            own_history: [(0.0, 0.0); REPORT_AGE_PERIODS],
+            drain_by: f64::INFINITY,
+            pickable_index: NO_INDEX,
+            history: ServerHistory { strain: Strain::new(self.now), ..ServerHistory::default() },
         };
-        let slot = match self.free.pop() {
+        let slot = match self.free_slots.pop() {
             Some(slot) => {
                 self.servers[slot] = server;
                 slot
@@ -93,59 +93,60 @@
                 self.servers.len() - 1
             }
         };
-        self.index.insert(entry.server, slot);
+        self.slot_by_id.insert(entry.server, slot);
         slot
     }
 
-    /// Maintenance: a server that the operators take out drains until they put it back, whatever the
-    /// list says. It is restarted meanwhile: it comes back cold, and nothing is held against it.
-    pub(super) fn on_maintenance(&mut self, id: ServerId, begins: bool, out: &mut Vec<Action>) {
+    /// Takes a server into maintenance, in which it drains whatever the list says, or returns it to service.
+    /// It is assumed to restart in maintenance: it returns in slow start and without a failure history.
+    pub(super) fn on_maintenance(&mut self, id: ServerId, begins: bool, actions: &mut Vec<Action>) {
         if begins {
-            self.out.insert(id);
-            self.back.remove(&id);
-        } else if self.out.remove(&id) {
-            self.back.insert(id);
-            if let Some(&slot) = self.index.get(&id) {
+            self.in_maintenance.insert(id);
+            self.returned.remove(&id);
+        } else if self.in_maintenance.remove(&id) {
+            self.returned.insert(id);
+            if let Some(&slot) = self.slot_by_id.get(&id) {
                 let server = &mut self.servers[slot];
                 let (strain, started_at, budget) =
                     (Strain::new(self.now), self.now, Budget::new(1.0, self.now));
-                server.track = ServerHistory { strain, started_at, budget, ..ServerHistory::default() };
+                server.history = ServerHistory { strain, started_at, budget, ..ServerHistory::default() };
             }
         }
-        self.count_ready();
-        self.retry_held(out);
+        self.rebuild_ready_set();
+        self.retry_queued(actions);
     }
 
-    /// Gives up the slot of a server that is gone and holds nothing, unless that was done before
-    /// and the server has since come back in another slot.
-    pub(super) fn forget(&mut self, slot: usize, id: ServerId) {
-        if self.index.get(&id) == Some(&slot) {
-            self.index.remove(&id);
-            self.free.push(slot);
-            self.reports.handle(self.now, Asked::Gone(id), &mut Vec::new());
-            self.silence.heard(id);
+    /// Releases the slot of a server that is gone and holds nothing, unless it was already released and
+    /// the server has returned in another slot.
+    pub(super) fn release_slot(&mut self, slot: usize, id: ServerId) {
+        if self.slot_by_id.get(&id) == Some(&slot) {
+            self.slot_by_id.remove(&id);
+            self.free_slots.push(slot);
+            self.reports.handle(self.now, ReportEvent::Gone(id), &mut Vec::new());
+            self.symptoms.heard(id);
         }
     }
 
-    /// Weights, sums, d and the ready set anew after the list has changed.
-    pub(super) fn count_ready(&mut self) {
-        let usable = |w: f64| w > 0.0 && w.is_finite();
-        let (mut sum, mut known) = (0.0, 0.0);
-        self.ready = 0;
+    /// Recomputes states, weights, sums, the number of draws and the ready set after a change of the list or
+    /// of maintenance.
+    pub(super) fn rebuild_ready_set(&mut self) {
+        let usable = |weight: f64| weight > 0.0 && weight.is_finite();
+        let (mut weight_sum, mut weight_count) = (0.0, 0.0);
+        self.ready_count = 0;
         for s in &mut self.servers {
-            let kept_out = s.listed == ServerState::Ready && self.out.contains(&s.id);
-            s.state = if kept_out { ServerState::Draining } else { s.listed };
+            let kept_out = s.listed_state == ServerState::Ready && self.in_maintenance.contains(&s.id);
+            s.state = if kept_out { ServerState::Draining } else { s.listed_state };
             let drains = s.state == ServerState::Draining;
-            s.leave_by = if drains { s.leave_by.min(self.now + LEAVE_MS) } else { f64::INFINITY };
+            s.drain_by = if drains { s.drain_by.min(self.now + DRAIN_MS) } else { f64::INFINITY };
         }
         for s in self.servers.iter().filter(|s| s.state == ServerState::Ready) {
-            self.ready += 1;
+            self.ready_count += 1;
             if usable(s.listed_weight) {
-                sum += s.listed_weight;
-                known += 1.0;
+                weight_sum += s.listed_weight;
+                weight_count += 1.0;
             }
         }
-        let mean = if known > 0.0 { sum / known } else { 1.0 };
+        let mean = if weight_count > 0.0 { weight_sum / weight_count } else { 1.0 };
         let (mut min, mut max) = (mean, mean);
         self.ready_weight = 0.0;
         self.ready_open = 0.0;
@@ -153,10 +154,10 @@
         self.ejected.clear();
         for slot in 0..self.servers.len() {
             let s = &mut self.servers[slot];
-            s.place = NOWHERE;
+            s.pickable_index = NO_INDEX;
             if s.state == ServerState::Gone && s.open == 0 {
                 let id = s.id;
-                self.forget(slot, id);
+                self.release_slot(slot, id);
                 continue;
             }
             if s.state != ServerState::Ready {
@@ -167,15 +168,15 @@
             max = max.max(s.weight);
             self.ready_weight += s.weight;
             self.ready_open += f64::from(s.open);
-            if s.track.ejected_until > self.now {
+            if s.history.ejected_until > self.now {
                 self.ejected.push(slot);
             } else {
-                s.place = self.pickable.len();
+                s.pickable_index = self.pickable.len();
                 self.pickable.push(slot);
             }
         }
-        self.draws = draw_count(max, mean, min);
-        self.least = min;
-        self.weigh_warm();
+        self.draw_count = draw_count(max, mean, min);
+        self.min_weight = min;
+        self.update_available_weight();
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,6 +1,6 @@
-//! What goes into a [`Balancer`](crate::Balancer) and what comes out: settings, events, actions.
+//! Inputs and outputs of a [`Balancer`](crate::Balancer): settings, events and actions.
 //!
-//! Times are `f64` milliseconds on one monotonic clock of the embedding node; its origin is free.
+//! Times are `f64` milliseconds on one monotonic clock of the embedding node, with an arbitrary origin.
 
 use marllink_rate_limits::{Budget, Rate, Shortage};
 pub use marllink_rebalancing::Strain;
@@ -9,7 +9,7 @@
 pub use marllink_server_state::Sign;
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds, as a point on the node's monotonic clock or as a span.
+/// Milliseconds, as a point on the node's monotonic clock or as a duration.
 pub type Millis = f64;
 
 macro_rules! ids {
@@ -23,13 +23,13 @@
 }
 
 ids! {
-    /// A server, opaque: nothing is read into the number but identity.
+    /// Opaque identity of a server.
     ServerId(u64);
-    /// A request, unique for the life of a balancer.
+    /// A request id, unique for the lifetime of a balancer.
     RequestId(u64);
-    /// The attempts of one request are numbered 0, 1, 2 ... in the order they are sent.
+    /// Number of an attempt within its request: 0, 1, 2 and so on, in the order of sending.
     AttemptNo(u8);
-    /// Chosen by the balancer and handed back by [`Event::Timer`].
+    /// Chosen by the balancer and returned in [`Event::Timer`].
     TimerToken(u32);
     /// A balancer's number among its peers.
     NodeId(u16);
@@ -39,20 +39,20 @@
     TenantId(u16);
     /// A failure domain of servers and nodes.
     ZoneId(u8);
-    /// A small set of servers that share what they remember of request keys.
+    /// A small set of servers that share one deduplication table of request keys.
     CellId(u16);
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// A set-up within this time is worth the most.
+    /// Latency goal for setting up a connection: a later one has less value.
     pub setup_goal_ms: Millis,
-    /// Whether it may be repeated.
+    /// Whether, and under which conditions, a request may run more than once.
     pub idempotency: Effect,
-    /// Its worth relative to other classes.
+    /// Value of a served request, relative to other classes.
     pub value: f64,
-    /// The aim for a message on an open connection; 0 if there is none.
+    /// Latency goal for a message on an open connection; 0 if there is none.
     pub message_goal_ms: Millis,
 }
 
@@ -65,17 +65,17 @@
 /// A tenant of the fleet.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Tenant {
-    /// Open connections over all nodes that count as within its share; 0 if unlimited.
+    /// Quota of open connections over all nodes; 0 if unlimited.
     pub quota_connections: f64,
 }
 
-/// How the list of servers reaches a node.
+/// How the server list reaches a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Discovery {
-    /// Changes come unasked.
+    /// Changes arrive without a request.
     #[default]
     Push,
-    /// They come only after [`Action::WatchList`] or [`Action::FetchList`].
+    /// Changes arrive only after [`Action::WatchList`] or [`Action::FetchList`].
     Pull,
 }
 
@@ -84,32 +84,32 @@
 pub enum ReportField {
     /// Connections or requests held.
     InFlight,
-    /// Load asked for over what the server can do.
+    /// Load as a ratio of the server's capacity.
     Utilization,
-    /// Seconds of work piled up.
+    /// Seconds of queued work.
     Backlog,
-    /// Errors a second.
+    /// Errors per second.
     ErrorRate,
-    /// Anything else; skipped.
+    /// Any other value; ignored.
     Other,
 }
 
-/// What the site allows.
+/// Limits and optional features of the deployment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// An attempt that has found no connection by then fails.
+    /// Time after which an attempt without a connection fails.
     pub connect_timeout_ms: Millis,
-    /// Attempts for each request.
+    /// Maximum number of attempts per request.
     pub max_attempts: u8,
-    /// [`Action::Cancel`] is allowed.
+    /// Whether [`Action::Cancel`] is allowed.
     pub cancel: bool,
-    /// [`Action::Probe`] is allowed.
+    /// Whether [`Action::Probe`] is allowed.
     pub probe: bool,
-    /// [`Action::SendToPeer`] is allowed.
+    /// Whether [`Action::SendToPeer`] is allowed.
     pub peers: bool,
-    /// Clients are told how long to stay away.
+    /// Whether a rejected client receives a retry-after delay.
     pub retry_after: bool,
-    /// The longest that any of them obeys.
+    /// Longest retry-after delay that clients honour.
     pub max_retry_after_ms: Millis,
 }
 
@@ -127,18 +127,19 @@
     }
 }
 
-/// The figures of the drain and slow-start rules.
+/// Parameters of list refresh and slow start that the deployment guarantees.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// A node without a subscription must ask for the list within this time.
+    /// Time within which a node without a subscription must request the list.
     pub fetch_within_ms: Millis,
-    /// A started server can do at least this share of its capacity.
+    /// Share of its full capacity that a server has at least right after its start.
     pub initial_capacity_ratio: f64,
-    /// And all of it after this time.
+    /// Time after its start at which a server has its full capacity.
     pub warm_up_ms: Millis,
-    /// Sent more than this multiple of what it can do ...
+    /// A server in slow start collapses if it receives more than this multiple of its current capacity
+    /// for [`collapse_after_ms`](Self::collapse_after_ms).
     pub collapse_load_ratio: f64,
-    /// ... for this long, a cold server falls over.
+    /// How long a server in slow start withstands such an overload.
     pub collapse_after_ms: Millis,
 }
 
@@ -154,120 +155,120 @@
     }
 }
 
-/// What things cost, in the same unit as the share of worth served.
+/// Costs of the balancer's actions, in the unit of the share of value served.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Prices {
-    /// A client moved, for each request.
+    /// Cost of a moved client, per request.
     pub moves: f64,
-    /// A probe, for each request.
+    /// Cost of a probe, per request.
     pub probe: f64,
-    /// A request sent to another zone.
+    /// Cost of a request sent to another zone.
     pub cross_zone: f64,
-    /// Worth that ended unserved after its aim.
+    /// Cost of value that failed after its latency goal had passed.
     pub late_failure: f64,
 }
 
-/// All that a balancer is told at its start.
+/// Configuration of a balancer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     /// This node's number.
     pub node: NodeId,
-    /// How many nodes there are; 0 counts as 1.
+    /// Number of nodes; 0 counts as 1.
     pub nodes: u16,
     /// This node's zone.
     pub zone: ZoneId,
-    /// How many zones there are.
+    /// Number of zones.
     pub zones: u8,
-    /// How the list arrives.
+    /// How the server list arrives.
     pub discovery: Discovery,
     /// Request classes.
     pub classes: Vec<Class>,
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// What a connection of a tenant above its share is worth, of its usual worth.
+    /// Value of a connection of a tenant above its quota, as a ratio of its normal value.
     pub over_quota_value_ratio: f64,
-    /// Connections of one group share work at the server that holds them.
+    /// Whether connections of one group share work at the server that holds them.
     pub group_affinity: bool,
-    /// What a probe's report holds, in order; empty where servers report nothing.
+    /// Fields of a probe's report, in order; empty where servers report nothing.
     pub report_fields: Vec<ReportField>,
-    /// What the site allows.
+    /// Limits and optional features.
     pub limits: Limits,
-    /// Figures of the rules.
+    /// Parameters of list refresh and slow start.
     pub rules: Rules,
-    /// Prices.
+    /// Costs of actions.
     pub prices: Prices,
 }
 
-/// A pick waits for servers' answers for this part of the shortest aim at most.
+/// Maximum time that a pick waits for probe results, as a ratio of the strictest set-up goal.
 const PROBE_WAIT_RATIO: f64 = 0.1;
 
 impl Settings {
-    /// What of each tenant is within its share, in open connections over all nodes; 0 for no bound.
+    /// Returns each tenant's quota, in open connections over all nodes; 0 if unlimited.
     pub(crate) fn tenant_quotas(&self) -> Vec<f64> {
         self.tenants.iter().map(|t| t.quota_connections).collect()
     }
 
-    /// True if servers may be asked for their load over what they can do, and say it.
+    /// Returns true if servers may be probed and report their utilization.
     #[must_use]
     pub fn reports_load(&self) -> bool {
         self.limits.probe && self.report_fields.contains(&ReportField::Utilization)
     }
 
-    /// The strictest aim for a message; infinite where there is none.
+    /// Returns the strictest latency goal for a message; infinite if there is none.
     #[must_use]
     pub fn strictest_message_goal(&self) -> Millis {
-        let aims = self.classes.iter().map(|c| c.message_goal_ms).filter(|a| *a > 0.0);
-        aims.fold(f64::INFINITY, f64::min)
+        let goals = self.classes.iter().map(|c| c.message_goal_ms).filter(|goal| *goal > 0.0);
+        goals.fold(f64::INFINITY, f64::min)
     }
 
-    /// How servers are asked for their load.
+    /// Returns the settings for load probes.
     pub(crate) fn probe_settings(&self) -> marllink_server_state::Settings {
-        let aims = self.classes.iter().map(|c| c.setup_goal_ms).filter(|a| *a > 0.0);
-        let usual = marllink_server_state::Settings::default();
-        let patience_ms = usual.patience_ms.min(aims.fold(f64::INFINITY, f64::min) * PROBE_WAIT_RATIO);
-        marllink_server_state::Settings { patience_ms, ..usual }
+        let goals = self.classes.iter().map(|c| c.setup_goal_ms).filter(|goal| *goal > 0.0);
+        let defaults = marllink_server_state::Settings::default();
+        let patience_ms = defaults.patience_ms.min(goals.fold(f64::INFINITY, f64::min) * PROBE_WAIT_RATIO);
+        marllink_server_state::Settings { patience_ms, ..defaults }
     }
 }
 
-/// Whether a listed server takes work.
+/// Whether a listed server accepts work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
-    /// It takes new connections.
+    /// Accepts new connections.
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// Serves its open connections and accepts no new ones.
     Draining,
-    /// It is no longer there.
+    /// Removed from the list.
     Gone,
 }
 
-/// A line of the server list.
+/// An entry of the server list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerEntry {
-    /// Which server.
+    /// The server.
     pub server: ServerId,
     /// Its zone.
     pub zone: ZoneId,
-    /// Its cell.
+    /// Its deduplication cell.
     pub cell: CellId,
-    /// Whether it takes work.
+    /// Whether it accepts work.
     pub state: ServerState,
-    /// Its weight among the others; anything that is not a positive finite number counts as
-    /// the others' mean.
+    /// Its weight relative to the others; a value that is not positive and finite counts as the mean
+    /// of the others.
     pub weight: f64,
     /// When it last started; 0 for long ago.
     pub started_at: Millis,
 }
 
-/// How much of the list an announcement holds.
+/// Which part of the server list an update contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Changed lines.
+    /// Only changed entries.
     Delta,
-    /// All lines: a server not among them is gone.
+    /// All entries: a server not among them is gone.
     Full,
-    /// All lines, as this node knew them before it restarted.
+    /// All entries, as this node knew them before it restarted.
     Cached,
-    /// A call failed or the subscription broke; the list in hand stays.
+    /// None: a call failed or the subscription broke, and the current list stays in force.
     Failed,
 }
 
@@ -280,37 +281,37 @@
     pub class: ClassId,
     /// Its tenant.
     pub tenant: TenantId,
-    /// The client waits this much longer.
+    /// How much longer the client waits.
     pub time_left_ms: Millis,
-    /// The client has tried before.
+    /// True if the client is retrying.
     pub retry: bool,
-    /// Its group, where [`Settings::group_affinity`] says that there are any; 0 for none.
+    /// Its group if [`Settings::group_affinity`] is set; 0 for none.
     pub group: u64,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served to its end.
+    /// Served to completion.
     Ok,
     /// The server answered with an error.
     Error,
-    /// Turned away unseen.
+    /// The server rejected it without processing it.
     Full,
     /// No answer in time.
     TimedOut,
-    /// No connection could be made.
+    /// No connection could be established.
     ConnectFailed,
     /// The connection broke.
     Reset,
-    /// Called off, or the client left.
+    /// Cancelled, or the client disconnected.
     Cancelled,
     /// It was never sent.
     NotSent,
 }
 
 impl Outcome {
-    /// True if the attempt surely had no effect.
+    /// Returns true if the attempt certainly had no effect.
     #[must_use]
     pub fn never_ran(self) -> bool {
         matches!(self, Self::Full | Self::ConnectFailed | Self::NotSent)
@@ -320,33 +321,33 @@
 /// Something that happened at the node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News of the server list.
+    /// An update of the server list.
     ServerList {
-        /// How much of it.
+        /// Which part of the list it contains.
         kind: ListKind,
-        /// The lines.
+        /// The entries.
         entries: Vec<ServerEntry>,
     },
-    /// A client wants a connection. It is owed one final answer within its time.
+    /// A client requests a connection. It must receive exactly one final answer before its time runs out.
     Request(NewRequest),
     /// A connection that was already open through this node when the balancer started.
     OpenConnection {
-        /// The request it came from.
+        /// The request that it came from.
         request: NewRequest,
         /// The server that holds it.
         server: ServerId,
     },
-    /// An attempt's connection stands; deadlines no longer apply to it.
+    /// An attempt's connection is established; deadlines no longer apply to it.
     Established {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNo,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         latency_ms: Millis,
     },
-    /// An attempt is over. Each attempt sent ends in exactly one of these, also when its
-    /// time-out passes: keeping that time-out is the node's part.
+    /// An attempt ended. Each attempt that was sent ends in exactly one such event, also on a timeout,
+    /// which the node enforces.
     AttemptEnded {
         /// The request.
         request: RequestId,
@@ -354,136 +355,136 @@
         attempt: AttemptNo,
         /// How it ended.
         outcome: Outcome,
-        /// True if the client has its final answer, or needs none any more.
+        /// True if the client has its final answer or no longer needs one.
         closed: bool,
     },
-    /// An open connection's load is now this many microseconds of work a second.
+    /// The load of an open connection changed.
     ConnectionLoad {
         /// The connection's request.
         request: RequestId,
-        /// Its load.
+        /// Its load, in microseconds of work per second.
         load: f64,
     },
-    /// A message on this connection now takes so long at its server.
+    /// The server reported how long a message on this connection takes.
     MessageDelay {
         /// The connection's request.
         request: RequestId,
-        /// How long.
+        /// The message delay.
         delay_ms: Millis,
     },
-    /// A timer is due.
+    /// A timer expired.
     Timer(TimerToken),
-    /// A peer sent this.
+    /// A message from a peer arrived.
     PeerMessage {
-        /// Who.
+        /// The sender.
         from: NodeId,
-        /// What.
+        /// The message.
         payload: Vec<u8>,
     },
-    /// A probe's result.
+    /// The result of a probe.
     ProbeResult {
-        /// The server probed.
+        /// The probed server.
         server: ServerId,
-        /// False if it did not answer well.
+        /// False if the probe failed.
         ok: bool,
-        /// The report, ordered as [`Settings::report_fields`]; empty if there was none.
+        /// The report, ordered as in [`Settings::report_fields`]; empty if there was none.
         report: Vec<f32>,
     },
-    /// A server looks as if it had fallen silent. To come as often as it is seen.
+    /// A server seems to be unresponsive. Sent each time that a symptom is observed.
     Unresponsive {
-        /// Which.
+        /// The server.
         server: ServerId,
-        /// What speaks for it.
+        /// What was observed.
         symptom: Sign,
     },
-    /// The client has left; nothing is owed.
+    /// The client disconnected; it needs no answer.
     ClientGone(RequestId),
-    /// The node can wait no longer, as it ends or the client's time does: the final answer is due at once,
-    /// by what may have run. An attempt that is out is called off.
+    /// The node can't wait any longer, because it shuts down or the client's time runs out: the final
+    /// answer is due at once and depends on what may have run. A pending attempt is cancelled.
     AnswerNow(RequestId),
-    /// The operators take a server out, or put it back.
+    /// Operators take a server into maintenance or return it to service.
     Maintenance {
-        /// Which; it need not be listed now.
+        /// The server; it may be missing from the list.
         server: ServerId,
-        /// Out if true, back if false. What is so already stays as it is.
+        /// True at the start of maintenance, false at its end. Repeating either has no effect.
         begins: bool,
     },
-    /// New settings, in place of the old. Classes and tenants keep their numbers: one that is no
-    /// longer used stays in its place.
+    /// Replaces the settings. Classes and tenants keep their indices: one that is no longer used
+    /// stays in its place.
     Settings(Settings),
-    /// What a predecessor knows, whose place this balancer takes. To come after the list.
+    /// State learned by the predecessor that this balancer replaces. Must follow the server list.
     TakeOver(LearnedState),
-    /// All that the predecessor holds as of now; nothing once it has ended.
+    /// Everything that the predecessor still holds; empty once it has ended.
     PredecessorHoldings(Vec<Holding>),
 }
 
-/// Attempts and connections of another process that is the same balancer.
+/// Attempts and connections held by another process of the same balancer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Holding {
-    /// At this server.
+    /// The server that they go to.
     pub server: ServerId,
-    /// How many.
+    /// Number of attempts and connections.
     pub open: u32,
     /// Their load.
     pub load: f64,
 }
 
-/// What a balancer has learnt, for its successor. Every figure in it is finite, so that it outlives
-/// being written down.
+/// State that a balancer has learned and hands over to its successor. All numbers are finite, so that
+/// they survive serialization.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LearnedState {
-    /// The time on the clock by which all of it is told.
+    /// Current time on the clock that all other times refer to.
     pub now: Millis,
-    /// Of each server.
+    /// State by server.
     pub servers: Vec<(ServerId, ServerHistory)>,
-    /// Servers that the operators have taken out.
+    /// Servers in maintenance.
     #[serde(rename = "out")]
     pub in_maintenance: Vec<ServerId>,
-    /// Those that they have put back and that have held nothing since.
+    /// Servers returned from maintenance that have held no connection since.
     #[serde(rename = "back")]
     pub returned: Vec<ServerId>,
-    /// Of the fleet.
+    /// State of the fleet.
     pub fleet: FleetHistory,
-    /// What servers have said of their load lately, and when.
+    /// Recently reported loads of servers, each with the time of the report.
     #[serde(rename = "told")]
     pub reported_loads: Vec<(ServerId, Millis, ReportedLoad)>,
 }
 
-/// What a server has said of its load.
+/// A load that a server has reported.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReportedLoad {
-    /// Over what it can do.
+    /// Load as a ratio of the server's capacity.
     pub load: f64,
-    /// The own load in it, in microseconds of work a second.
+    /// This balancer's part of the load, in microseconds of work per second.
     #[serde(rename = "own")]
     pub own_load: f64,
 }
 
-/// A point in time that is long past on any clock.
+/// A time in the distant past of any clock.
 pub const LONG_AGO: Millis = -1e12;
-/// A limit that limits nothing.
+/// A limit that has no effect.
 pub const NO_LIMIT: f64 = 1e12;
 
-/// What a balancer has learnt of one server.
+/// State that a balancer has learned about one server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServerHistory {
     /// When it last started; 0 or less for long ago.
     pub started_at: Millis,
-    /// What is known of slow messages there.
+    /// Overload state derived from message delays.
     pub strain: Strain,
-    /// When it is relieved again at the earliest.
+    /// Earliest time of the next rebalancing by reported load.
     #[serde(rename = "relieve_at")]
     pub next_rebalance_at: Millis,
-    /// Failures running.
+    /// Number of consecutive failures.
     #[serde(rename = "failures")]
     pub consecutive_failures: u32,
-    /// When it failed last.
+    /// Time of the last failure.
     #[serde(rename = "failed_at")]
     pub last_failure_at: Millis,
-    /// Out of the ready set until then.
+    /// End of its ejection from the ready set.
     #[serde(rename = "out_until")]
     pub ejected_until: Millis,
-    /// What this node may still send to it while cold.
+    /// Connections that this node may still send to it during slow start.
     pub budget: Budget,
 }
 
@@ -502,7 +503,7 @@
 }
 
 impl ServerHistory {
-    /// The same on a clock that shows so much more.
+    /// Returns the same state on a clock that is ahead by `by`.
     #[must_use]
     pub fn shifted(self, by: Millis) -> Self {
         Self {
@@ -517,19 +518,19 @@
     }
 }
 
-/// What a balancer has learnt of the fleet.
+/// State that a balancer has learned about the fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FleetHistory {
-    /// Own set-ups for each unit of ready weight.
+    /// Rate of own connection set-ups per unit of available weight.
     #[serde(rename = "rate")]
     pub setup_rate: Rate,
-    /// Attempts that failed lately, those that stood, and what may be spent on further ones.
+    /// Counts of the retry limiter: recently failed attempts, successful attempts, and the retry budget.
     #[serde(rename = "tried")]
     pub limiter_counts: [f64; 3],
-    /// What a unit of weight can carry, by reports.
+    /// Estimated capacity of a unit of weight, from load reports.
     #[serde(rename = "carrying")]
     pub capacity: Carrying,
-    /// Own connections that all servers together are held to.
+    /// Limit on the own connections of all servers together.
     pub shortage: Shortage,
 }
 
@@ -545,63 +546,63 @@
 }
 
 impl FleetHistory {
-    /// The same on a clock that shows so much more.
+    /// Returns the same state on a clock that is ahead by `by`.
     #[must_use]
     pub fn shifted(self, by: Millis) -> Self {
         Self { setup_rate: self.setup_rate.shifted(by), shortage: self.shortage.shifted(by), ..self }
     }
 }
 
-/// Something the node is to do, in the order written.
+/// Something that the node must do. Actions are carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt.
     Send {
-        /// For this request.
+        /// The request.
         request: RequestId,
-        /// To this server.
+        /// The server to send it to.
         server: ServerId,
-        /// It ends as timed out if not established by then.
+        /// Time after which it ends as timed out unless established.
         timeout_ms: Millis,
     },
     /// Stop waiting for an attempt.
     Cancel {
-        /// Of this request.
+        /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNo,
     },
-    /// Final answer: refused; trying again is harmless.
+    /// Final answer: rejected, and safe to retry.
     Reject {
         /// The request.
         request: RequestId,
-        /// How long the client should stay away; 0 for no advice.
+        /// How long the client should wait before a retry; 0 for no advice.
         retry_after_ms: Millis,
     },
-    /// Final answer: failed; no promise of what has run.
+    /// Final answer: failed; the request may have run.
     Fail(RequestId),
-    /// Ask an open connection's client to come again.
+    /// Ask the client of an open connection to reconnect.
     Move(RequestId),
-    /// Call back with [`Event::Timer`].
+    /// Set a timer that triggers [`Event::Timer`].
     SetTimer {
-        /// After this time.
+        /// Time until it expires.
         delay_ms: Millis,
-        /// With this token.
+        /// Token to return.
         token: TimerToken,
     },
-    /// Ask a server for its load.
+    /// Probe a server for its load.
     Probe(ServerId),
-    /// Ask for the whole list once.
+    /// Fetch the whole server list once.
     FetchList,
-    /// Subscribe to the list's changes.
+    /// Subscribe to changes of the server list.
     WatchList,
-    /// Send a message to one peer, or to all.
+    /// Send a message to one peer or to all peers.
     SendToPeer {
-        /// To whom; `None` for all.
+        /// The recipient; `None` for all peers.
         to: Option<NodeId>,
-        /// What; 256 bytes at most.
+        /// The message, at most 256 bytes.
         payload: Vec<u8>,
     },
-    /// A line for the node's log.
+    /// Write a line to the node's log.
     Log(String),
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,10 +2,10 @@
 //!
 //! Each balancer counts its own open connections and gives a new one to the server that holds
 //! the fewest per weight among `d` uniform draws, with `d` from Wieder, "Balanced Allocations
-//! with Heterogenous Bins" (2007). Around that: following the server list, health, retries,
-//! slow start and overload.
+//! with Heterogenous Bins" (2007). Around that rule it tracks the server list and server health and handles
+//! retries, slow start and overload.
 //!
-//! The node owns sockets and timers. It feeds [`Event`]s and carries out [`Action`]s:
+//! The node owns the sockets and timers. It passes in [`Event`]s and carries out the returned [`Action`]s:
 //!
 //! ```
 //! use marllink::{
@@ -27,7 +27,7 @@
 //! };
 //! let list = Event::ServerList { kind: ListKind::Full, entries: vec![server(1), server(2)] };
 //! balancer.handle(0.0, list, &mut actions);
-//! // The node carries out what is asked, here a timer that comes back as `Event::Timer`.
+//! // The node carries out the actions: here it sets a timer that later triggers `Event::Timer`.
 //! assert!(matches!(actions[..], [Action::SetTimer { .. }]));
 //! actions.clear();
 //!
--- a/src/variant.rs
+++ b/src/variant.rs
@@ -1,19 +1,19 @@
-//! How the decisions may vary in experiments, so that one build compares them side by side.
+//! Variations of the decisions for experiments, so that one build can compare them side by side.
 //!
-//! What serves is [`Variant::default`]. Nothing outside experiments makes another, and no setting, file
-//! or message names one.
+//! Production uses [`Variant::default`]. Only experiments create any other variant; no setting, file or
+//! message of a node selects one.
 
 use marllink_retries::Policy;
 use serde::{Deserialize, Serialize};
 
-/// What differs from the decisions as they serve.
+/// Differences from the decisions that production uses.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct Variant {
-    /// How repeated attempts are limited.
+    /// How retries are limited.
     pub retries: Policy,
-    /// A bug put back on purpose, which experiments must find.
+    /// A known bug, reintroduced to verify that experiments detect it.
     #[serde(rename = "plant")]
     pub injected_bug: Option<InjectedBug>,
 }
@@ -24,31 +24,31 @@
     }
 }
 
-/// A bug put back on purpose.
+/// A known bug that experiments reintroduce to verify that they detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[cfg_attr(feature = "schema", schemars(rename = "Plant"))]
 #[serde(rename_all = "kebab-case")]
 pub enum InjectedBug {
-    /// The zone credit counts for more on a smaller server, and ties fall evenly.
+    /// The zone credit counts for more on a server of lower weight, and ties are broken uniformly.
     CreditByWeight,
-    /// A draining server is left by at least one connection at each housekeeping.
+    /// At least one connection is moved off a draining server in each housekeeping cycle.
     #[serde(rename = "leave-at-once")]
     DrainAtLeastOne,
-    /// Whatever fails is tried again at once, as often as is allowed.
+    /// Every failure is retried immediately, up to the maximum number of attempts.
     RetryStorm,
-    /// Each balancer sends a cold server what all together may.
+    /// Each balancer sends a server in slow start as much as all balancers together may send.
     #[serde(rename = "cold-sum")]
     ColdBudgetNotDivided,
-    /// The decisions are not told of servers that look silent, only of slow messages.
+    /// The balancer receives no events about unresponsive servers, only about slow messages.
     #[serde(rename = "silence-untold")]
     UnresponsiveNotReported,
-    /// Where lists are pushed, nobody opens the watch by which they come.
+    /// Where lists are pushed, the node never opens the watch that delivers them.
     #[serde(rename = "never-watch")]
     WatchNeverOpened,
-    /// The decisions are not told what tenants may use.
+    /// The balancer does not know the quotas of tenants.
     #[serde(rename = "tenant-blind")]
     TenantQuotasUnknown,
-    /// All that a slow server holds over its limit is moved, though others are as slow.
+    /// All connections of a slow server above its limit are moved, even when the other servers are as slow.
     MoveWhenAllSlow,
 }
