--- a/settings/src/parts.rs
+++ b/settings/src/parts.rs
@@ -1,7 +1,7 @@
 //! Which parts of the decisions are in force under some settings, and which are off and why.
 
 use crate::ParsedSettings;
-use marllink::{Discovery, Effect, Settings};
+use marllink::{Discovery, Idempotency, Settings};
 use serde::Serialize;
 
 /// A part of the decisions.
@@ -143,7 +143,7 @@
 /// What follows an attempt that failed.
 fn again(settings: &Settings) -> Vec<Feature> {
     let attempts = settings.limits.max_attempts;
-    let once = settings.classes.iter().filter(|c| c.idempotency == Effect::Unsafe).count();
+    let once = settings.classes.iter().filter(|c| c.idempotency == Idempotency::Unsafe).count();
     let classes = settings.classes.len();
     vec![
         part(
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -9,11 +9,13 @@
 
 use crate::interface::*;
 use crate::variant::{InjectedBug, Variant};
-use marllink_admission::Shares;
-use marllink_affinity::Sizes;
-use marllink_rate_limits::{Pace, Rate, Shortage, by_share, relief, whole};
-use marllink_retries::{Limiter, Ran};
-use marllink_server_state::{Command, Event as ReportEvent, Held, Silence, Verdict};
+use marllink_admission::TenantShares;
+use marllink_affinity::GroupSizes;
+use marllink_rate_limits::{
+    ConnectionLimit, Rate, SlowStartRate, choose_weighted, round_stochastic, select_to_shed,
+};
+use marllink_retries::{Limiter, PossibleExecution};
+use marllink_server_state::{Command, Event as ProbeEvent, ServerReport, UnresponsiveDetector, Verdict};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use rand_xoshiro::rand_core::{Rng, SeedableRng};
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -173,7 +175,7 @@
     /// Microseconds of work per second; 0 until reported.
     load: f64,
     /// The first attempt that may have run.
-    ran: Option<Ran>,
+    ran: Option<PossibleExecution>,
 }
 
 /// The decisions of one node.
@@ -201,13 +203,13 @@
     /// State of the fleet that a successor receives.
     fleet: FleetHistory,
     /// Reported loads of servers, and the picks that wait for probes.
-    reports: marllink_server_state::Knowledge<ServerId, ReportedLoad>,
-    symptoms: Silence<ServerId>,
+    probe_pool: marllink_server_state::ProbePool<ServerId, ReportedLoad>,
+    unresponsive_detector: UnresponsiveDetector<ServerId>,
     retry_limiter: Limiter,
     burst_rate: Rate,
-    tenant_shares: Shares,
+    tenant_shares: TenantShares,
     /// Number of connections seen by group.
-    group_sizes: Sizes,
+    group_sizes: GroupSizes,
     variant: Variant,
     /// Number of own open connections, including those of a predecessor.
     connection_count: usize,
@@ -233,12 +235,12 @@
     pub fn with_variant(settings: Settings, seed: u64, now: Millis, variant: Variant) -> Self {
         Self {
             message_goal: settings.strictest_message_goal(),
-            reports: marllink_server_state::Knowledge::new(settings.probe_settings()),
-            symptoms: Silence::default(),
+            probe_pool: marllink_server_state::ProbePool::new(settings.probe_settings()),
+            unresponsive_detector: UnresponsiveDetector::default(),
             retry_limiter: Limiter::new(variant.retries.clone(), settings.nodes, now),
             burst_rate: Rate::new(BURST_RATE_TAU_MS, now),
-            tenant_shares: Shares::new(settings.tenant_quotas(), settings.nodes),
-            group_sizes: Sizes::default(),
+            tenant_shares: TenantShares::new(settings.tenant_quotas(), settings.nodes),
+            group_sizes: GroupSizes::default(),
             variant,
             settings,
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
@@ -258,7 +260,7 @@
             queued: Vec::new(),
             fleet: FleetHistory {
                 setup_rate: Rate::new(SETUP_RATE_TAU_MS, now),
-                shortage: Shortage::new(now),
+                connection_limit: ConnectionLimit::new(now),
                 ..FleetHistory::default()
             },
             connection_count: 0,
@@ -285,8 +287,8 @@
             Event::Maintenance { server, begins } => self.on_maintenance(server, begins, actions),
             Event::Settings(settings) => {
                 self.message_goal = settings.strictest_message_goal();
-                self.retry_limiter.among(settings.nodes);
-                self.tenant_shares.retune(settings.tenant_quotas(), settings.nodes);
+                self.retry_limiter.set_balancer_count(settings.nodes);
+                self.tenant_shares.update_quotas(settings.tenant_quotas(), settings.nodes);
                 self.settings = settings;
             }
             Event::TakeOver(learned) => self.take_over(learned),
@@ -312,7 +314,7 @@
             Event::ClientGone(request) => self.on_client_gone(request, actions),
             Event::AnswerNow(request) => self.answer_now(request, actions),
             Event::ProbeResult { server, ok, report } => self.on_probe_result(server, ok, &report, actions),
-            Event::Timer(PROBE_TIMER) => self.handle_reports(ReportEvent::Due, actions),
+            Event::Timer(PROBE_TIMER) => self.handle_probe_event(ProbeEvent::Timeout, actions),
             Event::Timer(_) | Event::PeerMessage { .. } => {}
         }
     }
@@ -385,7 +387,7 @@
         let others = self.ready_weight - weight;
         let mean = if others > 0.0 { (self.ready_open - open).max(0.0) / others * weight } else { 0.0 };
         let count = mean * (1.0 - warmup) + open * warmup;
-        whole(count * self.min_weight / weight, self.uniform()) as f64 / self.min_weight
+        round_stochastic(count * self.min_weight / weight, self.uniform()) as f64 / self.min_weight
     }
 
     /// Returns the zone credit: if crossing zones has a price, servers of the own zone count as holding some
@@ -430,7 +432,7 @@
                         GROUP_CREDIT_CONNECTIONS
                             * GROUP_CREDIT_DECAY_RATIO.powi((rank + 1).saturating_sub(width) as i32)
                     }) + if prefers_zone { self.zone_credit(slot) } else { 0.0 };
-                    let unresponsive = self.reports.mute(self.now, self.servers[slot].id);
+                    let unresponsive = self.probe_pool.is_unresponsive(self.now, self.servers[slot].id);
                     drawn.push((
                         self.connections_per_weight(slot)
                             + if unresponsive { UNRESPONSIVE_PENALTY_CONNECTIONS } else { -credit },
@@ -466,7 +468,7 @@
         let weights: Vec<_> = drawn.iter().map(weight).collect();
         // Duplicates stay: such a server is probed once and has twice the chance.
         (0..MAX_CANDIDATE_COUNT)
-            .filter_map(|_| by_share(&weights, self.uniform()))
+            .filter_map(|_| choose_weighted(&weights, self.uniform()))
             .map(|at| drawn[at].1)
             .collect()
     }
@@ -478,10 +480,10 @@
             return (Vec::new(), 0);
         }
         let uniform = self.uniform();
-        let width = self.group_sizes.width(group, self.pickable.len(), uniform);
+        let width = self.group_sizes.server_count(group, self.pickable.len(), uniform);
         let server = |slot: &usize| (self.servers[*slot].id.0, self.servers[*slot].weight, *slot);
         (
-            marllink_affinity::first(
+            marllink_affinity::top_servers(
                 group,
                 self.pickable.iter().map(server),
                 width + GROUP_EXTRA_SERVER_COUNT,
@@ -496,19 +498,20 @@
     fn pick(&mut self, request: &RequestState) -> Option<usize> {
         let spare = |slot: &usize| {
             let (slot, id) = (*slot, self.servers[*slot].id);
-            let unresponsive = request.redraws < MAX_REDRAW_COUNT && self.reports.mute(self.now, id);
+            let unresponsive =
+                request.redraws < MAX_REDRAW_COUNT && self.probe_pool.is_unresponsive(self.now, id);
             if self.servers[slot].pickable_index == NO_INDEX
                 || unresponsive
                 || !self.may_run_on(request, slot)
             {
                 return 0.0;
             }
-            let known = self.reports.known(self.now, id).is_some();
+            let known = self.probe_pool.report(self.now, id).is_some();
             let load = if known { self.current_load(slot) } else { UNKNOWN_LOAD_RATIO };
             if load >= BUSY_LOAD_RATIO { 0.0 } else { (OVERLOAD_RATIO - load).powi(2) }
         };
         let shares: Vec<_> = request.candidates.iter().map(spare).collect();
-        by_share(&shares, self.uniform()).map(|at| request.candidates[at])
+        choose_weighted(&shares, self.uniform()).map(|at| request.candidates[at])
     }
 
     /// Returns a server that came back from maintenance and should get one connection without a draw.
@@ -580,21 +583,23 @@
 
     /// Moves all connections off a server that is unresponsive: its clients reach another server sooner than
     /// it recovers.
-    fn on_unresponsive(&mut self, id: ServerId, symptom: Sign, actions: &mut Vec<Action>) {
+    fn on_unresponsive(&mut self, id: ServerId, symptom: Symptom, actions: &mut Vec<Action>) {
         let Some(&slot) = self.slot_by_id.get(&id) else { return };
-        match self.symptoms.note(self.now, id, symptom) {
-            Verdict::Silent => {
+        match self.unresponsive_detector.record(self.now, id, symptom) {
+            Verdict::Unresponsive => {
                 let (zone, own) = (self.servers[slot].zone, self.servers[slot].connections.clone());
                 self.move_connections(slot, own, actions);
                 self.on_failure(slot, self.ready_count.saturating_sub(1));
                 let neighbours = self.servers.iter().filter(|s| s.zone == zone && !s.connections.is_empty());
                 let neighbours: Vec<_> = neighbours.map(|s| s.id).collect();
-                neighbours.into_iter().for_each(|id| self.on_unresponsive(id, Sign::Neighbour, actions));
+                neighbours
+                    .into_iter()
+                    .for_each(|id| self.on_unresponsive(id, Symptom::NeighbourUnresponsive, actions));
             }
-            Verdict::Doubtful if self.may_probe() => {
-                self.handle_reports(ReportEvent::Doubted(id), actions);
+            Verdict::Suspect if self.may_probe() => {
+                self.handle_probe_event(ProbeEvent::Suspected(id), actions);
             }
-            Verdict::Doubtful | Verdict::Nothing => {}
+            Verdict::Suspect | Verdict::Unchanged => {}
         }
     }
 
@@ -607,12 +612,16 @@
         }
         let slot = request.slot;
         let server = &mut self.servers[slot];
-        let excess =
-            server.history.strain.note(self.now, delay_ms, self.message_goal, f64::from(server.open));
+        let excess = server.history.overload.record_delay(
+            self.now,
+            delay_ms,
+            self.message_goal,
+            f64::from(server.open),
+        );
         let move_all = self.variant.injected_bug == Some(InjectedBug::MoveWhenAllSlow);
         self.move_excess(
             slot,
-            if move_all { excess / marllink_rebalancing::MOVED_SHARE } else { excess },
+            if move_all { excess / marllink_rebalancing::MOVED_RATIO } else { excess },
             actions,
         );
     }
@@ -625,8 +634,8 @@
         let mean = self.ready_open / self.available_weight.max(f64::MIN_POSITIVE) * s.weight;
         let bound = if self.may_probe() { NO_LIMIT } else { MAX_MEAN_MULTIPLE * mean + 1.0 };
         // A fractional limit holds on average over nodes and attempts.
-        let limit = s.history.strain.limit(self.now).min(bound) + uniform;
-        s.history.strain.hot(self.now)
+        let limit = s.history.overload.connection_limit(self.now).min(bound) + uniform;
+        s.history.overload.is_overloaded(self.now)
             || self.current_load(slot) >= BUSY_LOAD_RATIO
             || f64::from(s.open) + 1.0 > limit
     }
@@ -641,18 +650,18 @@
         if self.may_probe() {
             let own = |s: &&Server| s.state == ServerState::Ready && !s.connections.is_empty();
             let servers = self.servers.iter().filter(own).map(|s| s.id).collect();
-            self.handle_reports(ReportEvent::Review(servers), actions);
+            self.handle_probe_event(ProbeEvent::Refresh(servers), actions);
         }
     }
 
     /// Passes an event to the load reports and carries out the resulting commands.
-    fn handle_reports(&mut self, event: ReportEvent<ServerId, ReportedLoad>, actions: &mut Vec<Action>) {
+    fn handle_probe_event(&mut self, event: ProbeEvent<ServerId, ReportedLoad>, actions: &mut Vec<Action>) {
         let mut commands = Vec::new();
-        self.reports.handle(self.now, event, &mut commands);
+        self.probe_pool.handle(self.now, event, &mut commands);
         for command in commands {
             match command {
-                Command::Ask(id) => actions.push(Action::Probe(id)),
-                Command::Go(id) => self.pick_and_send(RequestId(id), actions),
+                Command::Probe(id) => actions.push(Action::Probe(id)),
+                Command::Proceed(id) => self.pick_and_send(RequestId(id), actions),
             }
         }
     }
@@ -667,11 +676,17 @@
         let held = held.and_then(|index| report.get(index)).map_or(0.0, |x| f64::from(*x));
         let (own, own_load) = server.own_history[REPORT_AGE_PERIODS - 1];
         let reported = load.map(|load| ReportedLoad { load, own_load });
-        ok.then(|| self.symptoms.heard(id));
+        ok.then(|| self.unresponsive_detector.clear(id));
         if let Some(load) = load {
-            self.fleet.capacity.learn(&Held { weight: server.weight, load, held, own, own_load });
+            self.fleet.capacity.record(&ServerReport {
+                weight: server.weight,
+                utilization: load,
+                connections: held,
+                own_connections: own,
+                own_load,
+            });
         }
-        self.handle_reports(ReportEvent::Answered { host: id, report: reported }, actions);
+        self.handle_probe_event(ProbeEvent::ProbeCompleted { server: id, report: reported }, actions);
     }
 
     /// Returns a server's current load as a ratio of its capacity: the last reported load, corrected by the
@@ -679,8 +694,8 @@
     /// burst to fill a server that appears idle.
     fn current_load(&self, slot: usize) -> f64 {
         let s = &self.servers[slot];
-        let Some(reported) = self.reports.known(self.now, s.id) else { return 0.0 };
-        let capacity = self.fleet.capacity.load() * s.weight;
+        let Some(reported) = self.probe_pool.report(self.now, s.id) else { return 0.0 };
+        let capacity = self.fleet.capacity.load_per_weight() * s.weight;
         let change = if capacity > 0.0 { (s.own_load - reported.own_load) / capacity } else { 0.0 };
         reported.load + change
     }
@@ -719,14 +734,14 @@
     fn move_load_share(&mut self, slot: usize, share: f64, actions: &mut Vec<Action>) {
         let own = self.connections_by_load(slot);
         let loads: Vec<_> = own.iter().map(|id| self.requests.get(id).map_or(0.0, |r| r.load)).collect();
-        let chosen = relief(&loads, share, || self.uniform());
+        let chosen = select_to_shed(&loads, share, || self.uniform());
         self.move_connections(slot, chosen.into_iter().map(|at| own[at]).collect(), actions);
     }
 
     /// Moves this number of own connections off a server that can't carry them, those with the highest load
     /// per value first: they free the most capacity per client disturbed.
     fn move_excess(&mut self, slot: usize, excess: f64, actions: &mut Vec<Action>) {
-        let count = whole(excess, self.uniform());
+        let count = round_stochastic(excess, self.uniform());
         if count == 0 {
             return;
         }
@@ -776,9 +791,9 @@
         self.move_off_draining(actions);
         self.rebalance_overloaded(actions);
         self.review_loads(actions);
-        if self.fleet.shortage.due(self.now) {
+        if self.fleet.connection_limit.review_due(self.now) {
             self.update_available_weight();
-            self.fleet.shortage.review(
+            self.fleet.connection_limit.review(
                 self.now,
                 self.connection_count as f64,
                 self.connections_on_overloaded(),
@@ -802,7 +817,8 @@
     /// Returns the number of own connections on overloaded servers, which indicates a general overload.
     fn connections_on_overloaded(&self) -> f64 {
         let overloaded = |slot: &usize| {
-            self.servers[*slot].history.strain.hot(self.now) || self.current_load(*slot) >= OVERLOAD_RATIO
+            self.servers[*slot].history.overload.is_overloaded(self.now)
+                || self.current_load(*slot) >= OVERLOAD_RATIO
         };
         let own = (0..self.servers.len()).filter(|slot| !self.servers[*slot].connections.is_empty());
         let counts = own.filter(overloaded).map(|slot| self.servers[slot].connections.len());
@@ -814,8 +830,8 @@
     /// Returns true unless the server is in slow start and this node has used up its budget for it. The
     /// server's capacity is estimated from what this node sends to others of its weight. Each node measures
     /// by its own traffic, so that nodes of unequal traffic together stay within the collapse ratio.
-    /// `wanted` is the part of a connection that would be sent.
-    fn slow_start_allows(&mut self, slot: usize, wanted: f64) -> bool {
+    /// `demand` is the part of a connection that would be sent.
+    fn slow_start_allows(&mut self, slot: usize, demand: f64) -> bool {
         let warmup = self.warmup(slot);
         if warmup >= 1.0 {
             return true;
@@ -824,31 +840,33 @@
         let nodes = if undivided { 1.0 } else { f64::from(self.settings.nodes.max(1)) };
         let uniform = self.uniform();
         let (rules, s) = (&self.settings.rules, &self.servers[slot]);
-        let idle = self.reports.known(self.now, s.id).is_some()
+        let idle = self.probe_pool.report(self.now, s.id).is_some()
             && self.current_load(slot) < SLOW_START_IDLE_LOAD_RATIO;
         let margin = if idle { SLOW_START_IDLE_MARGIN_RATIO } else { SLOW_START_MARGIN_RATIO };
         let max_load = rules.collapse_load_ratio * margin * self.capacity_ratio(slot) * s.weight;
-        let pace = Pace {
+        let pace = SlowStartRate {
             // This node's part of what fills the server within its warm-up time, as far as reports tell:
             // rejected clients do not count in the own rate.
-            part: max_load * self.fleet.capacity.connections() / rules.warm_up_ms.max(1.0) / nodes,
-            usual: max_load * self.fleet.setup_rate.at(self.now),
-            lately: s.weight * self.burst_rate.at(self.now),
+            share_per_ms: max_load * self.fleet.capacity.connections_per_weight()
+                / rules.warm_up_ms.max(1.0)
+                / nodes,
+            baseline_per_ms: max_load * self.fleet.setup_rate.per_ms(self.now),
+            recent_per_ms: s.weight * self.burst_rate.per_ms(self.now),
             window_ms: rules.collapse_after_ms,
-            wanted,
+            demand,
         };
         self.servers[slot].history.budget.allows(self.now, &pace, uniform)
     }
 
     // ---- Request lifecycle ----------------------------------------------------------------------
 
-    fn idempotency(&self, class: ClassId) -> Effect {
-        self.settings.classes.get(usize::from(class.0)).map_or(Effect::Safe, |c| c.idempotency)
+    fn idempotency(&self, class: ClassId) -> Idempotency {
+        self.settings.classes.get(usize::from(class.0)).map_or(Idempotency::Safe, |c| c.idempotency)
     }
 
     /// Returns the value of a request, by its class and whether its tenant is above its quota.
     fn value(&self, request: &RequestState) -> f64 {
-        let above_quota = self.tenant_shares.above(request.tenant.0, 0.0);
+        let above_quota = self.tenant_shares.exceeds_share(request.tenant.0, 0.0);
         let value = self.settings.classes.get(usize::from(request.class.0)).map_or(1.0, |c| c.value);
         (value * if above_quota { self.settings.over_quota_value_ratio } else { 1.0 }).max(0.01)
     }
@@ -862,8 +880,8 @@
             return;
         }
         let request = self.new_request_state(new, NO_INDEX);
-        self.group_sizes.seen(request.group);
-        self.retry_limiter.first(self.now);
+        self.group_sizes.record(request.group);
+        self.retry_limiter.record_request(self.now);
         self.attempt(new.request, request, actions);
     }
 
@@ -906,7 +924,7 @@
         };
         let (phase, deadline, attempts) = (Phase::Open, f64::INFINITY, 1);
         let request = RequestState { phase, deadline, attempts, ..self.new_request_state(new, slot) };
-        self.group_sizes.seen(request.group);
+        self.group_sizes.record(request.group);
         self.add_open(slot, 1);
         self.servers[slot].connections.push(new.request);
         self.tenant_shares.opened(new.tenant.0);
@@ -917,7 +935,7 @@
     /// Returns true if the next attempt may go to this server.
     fn may_run_on(&self, request: &RequestState, slot: usize) -> bool {
         let server = &self.servers[slot];
-        self.idempotency(request.class).may_run_on(self.now, request.ran, server.zone.0, server.cell.0)
+        self.idempotency(request.class).may_execute_on(self.now, request.ran, server.zone.0, server.cell.0)
     }
 
     /// Draws candidates for the next attempt and probes their load, or queues the request, or gives its
@@ -928,11 +946,11 @@
         let finished = time_left < MIN_TIME_LEFT_MS
             || attempts_left == 0
             || !self.idempotency(request.class).may_repeat(self.now, request.ran);
-        let over_quota = self.tenant_shares.refuses(self.now, request.tenant.0);
+        let over_quota = self.tenant_shares.rejects(self.now, request.tenant.0);
         if finished
             || over_quota
             || self.throttled(&request)
-            || self.fleet.shortage.full(self.connection_count, uniform)
+            || self.fleet.connection_limit.is_reached(self.connection_count, uniform)
         {
             self.answer(id, &request, actions);
             return;
@@ -945,11 +963,11 @@
             self.pick_and_send(id, actions);
             return;
         }
-        self.handle_reports(ReportEvent::Wanted { pick: id.0, hosts: servers }, actions);
+        self.handle_probe_event(ProbeEvent::PickRequested { pick: id.0, servers }, actions);
         // Also needed if other picks have sent the probes, which may stay without an answer.
-        if self.reports.due().is_some() {
+        if self.probe_pool.next_timeout().is_some() {
             actions.push(Action::SetTimer {
-                delay_ms: self.settings.probe_settings().patience_ms,
+                delay_ms: self.settings.probe_settings().pick_timeout_ms,
                 token: PROBE_TIMER,
             });
         }
@@ -982,7 +1000,7 @@
         let time_left = request.deadline - self.now;
         let attempts_left = self.settings.limits.max_attempts.saturating_sub(request.attempts);
         // Reserves half of the time for another server, unless the goal needs more or no retry is possible.
-        let may_retry = attempts_left > 1 && self.idempotency(request.class) != Effect::Unsafe;
+        let may_retry = attempts_left > 1 && self.idempotency(request.class) != Idempotency::Unsafe;
         let timeout_ms = if may_retry && time_left / 2.0 >= self.setup_goal(request.class) / 2.0 {
             (time_left / 2.0).max(self.setup_goal(request.class)).min(time_left)
         } else {
@@ -992,8 +1010,8 @@
         self.add_open(slot, 1);
         self.servers[slot].history.budget.spend();
         self.burst_rate.add(self.now, self.setup_per_weight());
-        self.reports.handle(self.now, ReportEvent::Used(self.servers[slot].id), &mut Vec::new());
-        self.retry_limiter.sent();
+        self.probe_pool.handle(self.now, ProbeEvent::ReportUsed(self.servers[slot].id), &mut Vec::new());
+        self.retry_limiter.record_attempt();
         request.phase = Phase::Attempting;
         request.redraws = 0;
         request.last_tried = [slot, request.last_tried[0]];
@@ -1009,7 +1027,7 @@
         if request.redraws > 0 || self.variant.injected_bug == Some(InjectedBug::RetryStorm) {
             return false;
         }
-        let allows = if request.attempts == 0 { Limiter::allows } else { Limiter::allows_again };
+        let allows = if request.attempts == 0 { Limiter::allows_first } else { Limiter::allows_retry };
         !allows(&mut self.retry_limiter, self.now, uniform)
     }
 
@@ -1024,7 +1042,7 @@
     /// Returns the final answer. A rejection states that a retry is harmless, so a request that must not run
     /// twice fails instead if it may have run.
     fn reject_or_fail(&self, id: RequestId, request: &RequestState, retry_after_ms: Millis) -> Action {
-        let harmless = self.idempotency(request.class).harmless(request.ran);
+        let harmless = self.idempotency(request.class).client_may_retry(request.ran);
         if harmless { Action::Reject { request: id, retry_after_ms } } else { Action::Fail(id) }
     }
 
@@ -1033,7 +1051,8 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         if request.phase == Phase::Attempting {
             let server = &self.servers[request.slot];
-            let sent = Ran { at: request.sent_at, zone: server.zone.0, cell: server.cell.0 };
+            let sent =
+                PossibleExecution { sent_at: request.sent_at, zone: server.zone.0, cell: server.cell.0 };
             request.ran = request.ran.or(Some(sent));
         }
         if !matches!(request.phase, Phase::Open | Phase::Finished) {
@@ -1082,9 +1101,9 @@
         // the server is healthy.
         let goal = if self.may_probe() { f64::INFINITY } else { self.message_goal };
         let server = &mut self.servers[slot];
-        server.history.strain.came_up(self.now, took_ms, goal, f64::from(server.open));
-        self.retry_limiter.stood(self.now, took_ms);
-        self.reports.handle(self.now, ReportEvent::Paid, &mut Vec::new());
+        server.history.overload.record_connect(self.now, took_ms, goal, f64::from(server.open));
+        self.retry_limiter.record_success(self.now, took_ms);
+        self.probe_pool.handle(self.now, ProbeEvent::RefreshCredited, &mut Vec::new());
         self.fleet.setup_rate.add(self.now, self.setup_per_weight());
         self.attribute_errors(&errored, true);
     }
@@ -1093,10 +1112,10 @@
     /// itself the cause: its servers must not be ejected for it, and it counts as one failure.
     fn attribute_errors(&mut self, errored: &[usize], established: bool) {
         if established || errored.len() == 1 {
-            self.retry_limiter.failed(self.now, errored.len() as f64);
+            self.retry_limiter.record_failures(self.now, errored.len() as f64);
             errored.iter().for_each(|slot| self.on_failure(*slot, self.max_ejected()));
         } else if !errored.is_empty() {
-            self.retry_limiter.failed(self.now, 1.0);
+            self.retry_limiter.record_failures(self.now, 1.0);
         }
     }
 
@@ -1128,7 +1147,8 @@
             // Nothing listens there. Servers do not share such a cause, so all but one may be ejected.
             Outcome::ConnectFailed => self.on_failure(slot, self.ready_count.saturating_sub(1)),
             Outcome::Error | Outcome::Full | Outcome::TimedOut | Outcome::Reset => {
-                self.retry_limiter.failed(self.now, f64::from(u8::from(request.phase == Phase::Attempting)));
+                self.retry_limiter
+                    .record_failures(self.now, f64::from(u8::from(request.phase == Phase::Attempting)));
                 self.on_failure(slot, self.max_ejected());
             }
         }
@@ -1138,7 +1158,11 @@
         }
         if !outcome.never_ran() && request.ran.is_none() {
             let server = &self.servers[slot];
-            request.ran = Some(Ran { at: request.sent_at, zone: server.zone.0, cell: server.cell.0 });
+            request.ran = Some(PossibleExecution {
+                sent_at: request.sent_at,
+                zone: server.zone.0,
+                cell: server.cell.0,
+            });
         }
         if request.phase == Phase::Open && outcome != Outcome::Ok {
             // A broken stream has ended for its client: no retry may follow.
@@ -1150,7 +1174,7 @@
             self.answer(id, &request, actions);
             return;
         }
-        let wait = Limiter::wait_ms(usize::from(request.attempts), self.uniform());
+        let wait = Limiter::backoff_ms(usize::from(request.attempts), self.uniform());
         let retry_at_once = self.variant.injected_bug == Some(InjectedBug::RetryStorm);
         if wait > HOUSEKEEPING_MS
             && self.now + wait + 2.0 * HOUSEKEEPING_MS < request.deadline
@@ -1171,7 +1195,7 @@
             Phase::Queued | Phase::Probing => {
                 let errored = std::mem::take(&mut request.errored);
                 self.requests.remove(&id);
-                self.reports.handle(self.now, ReportEvent::Withdrawn(id.0), &mut Vec::new());
+                self.probe_pool.handle(self.now, ProbeEvent::PickCancelled(id.0), &mut Vec::new());
                 self.attribute_errors(&errored, false);
             }
             Phase::Attempting | Phase::Open => {
--- a/src/decide/handover.rs
+++ b/src/decide/handover.rs
@@ -19,7 +19,7 @@
             in_maintenance,
             returned,
             fleet,
-            reported_loads: self.reports.told(self.now),
+            reported_loads: self.probe_pool.recent_reports(self.now),
         }
     }
 
@@ -27,8 +27,11 @@
     pub(super) fn take_over(&mut self, learned: LearnedState) {
         let by = self.now - learned.now;
         self.fleet = learned.fleet.shifted(by);
-        self.retry_limiter.take_over(self.now, self.fleet.limiter_counts);
-        learned.reported_loads.into_iter().for_each(|(id, at, load)| self.reports.learn(at + by, id, load));
+        self.retry_limiter.restore(self.now, self.fleet.limiter_counts);
+        learned
+            .reported_loads
+            .into_iter()
+            .for_each(|(id, at, load)| self.probe_pool.restore(at + by, id, load));
         self.in_maintenance.extend(learned.in_maintenance);
         self.returned.extend(learned.returned);
         for (id, history) in learned.servers {
--- a/src/decide/membership.rs
+++ b/src/decide/membership.rs
@@ -4,22 +4,22 @@
 use super::{Balancer, DRAIN_MS, LIST_TIMER, NO_INDEX, REPORT_AGE_PERIODS, Server};
 use crate::draws::draw_count;
 use crate::interface::*;
-use marllink_rate_limits::{Budget, calls};
-use marllink_server_state::Event as ReportEvent;
+use marllink_rate_limits::{SlowStartBudget, discovery_calls};
+use marllink_server_state::Event as ProbeEvent;
 use rustc_hash::FxHashMap;
 
 impl Balancer {
     pub(super) fn on_list(&mut self, kind: ListKind, entries: &[ServerEntry], actions: &mut Vec<Action>) {
         match kind {
             ListKind::Failed => {
-                let delay_ms = calls::again(self.uniform());
+                let delay_ms = discovery_calls::retry_delay(self.uniform());
                 actions.push(Action::SetTimer { delay_ms, token: LIST_TIMER });
                 return;
             }
             ListKind::Cached => {
                 if self.settings.discovery == Discovery::Pull {
                     let (nodes, within) = (self.settings.nodes, self.settings.rules.fetch_within_ms);
-                    let delay_ms = calls::first(nodes, within, self.uniform());
+                    let delay_ms = discovery_calls::initial_delay(nodes, within, self.uniform());
                     actions.push(Action::SetTimer { delay_ms, token: LIST_TIMER });
                 }
             }
@@ -55,7 +55,7 @@
             // Failures of the previous process do not apply to the new one.
             server.history.consecutive_failures = 0;
             server.history.ejected_until = 0.0;
-            server.history.budget = Budget::new(budget, self.now);
+            server.history.budget = SlowStartBudget::new(budget, self.now);
         }
         server.zone = entry.zone;
         server.cell = entry.cell;
@@ -81,7 +81,7 @@
             own_history: [(0.0, 0.0); REPORT_AGE_PERIODS],
             drain_by: f64::INFINITY,
             pickable_index: NO_INDEX,
-            history: ServerHistory { strain: Strain::new(self.now), ..ServerHistory::default() },
+            history: ServerHistory { overload: OverloadState::new(self.now), ..ServerHistory::default() },
         };
         let slot = match self.free_slots.pop() {
             Some(slot) => {
@@ -107,9 +107,9 @@
             self.returned.insert(id);
             if let Some(&slot) = self.slot_by_id.get(&id) {
                 let server = &mut self.servers[slot];
-                let (strain, started_at, budget) =
-                    (Strain::new(self.now), self.now, Budget::new(1.0, self.now));
-                server.history = ServerHistory { strain, started_at, budget, ..ServerHistory::default() };
+                let (overload, started_at, budget) =
+                    (OverloadState::new(self.now), self.now, SlowStartBudget::new(1.0, self.now));
+                server.history = ServerHistory { overload, started_at, budget, ..ServerHistory::default() };
             }
         }
         self.rebuild_ready_set();
@@ -122,8 +122,8 @@
         if self.slot_by_id.get(&id) == Some(&slot) {
             self.slot_by_id.remove(&id);
             self.free_slots.push(slot);
-            self.reports.handle(self.now, ReportEvent::Gone(id), &mut Vec::new());
-            self.symptoms.heard(id);
+            self.probe_pool.handle(self.now, ProbeEvent::Removed(id), &mut Vec::new());
+            self.unresponsive_detector.clear(id);
         }
     }
 
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -2,11 +2,11 @@
 //!
 //! Times are `f64` milliseconds on one monotonic clock of the embedding node, with an arbitrary origin.
 
-use marllink_rate_limits::{Budget, Rate, Shortage};
-pub use marllink_rebalancing::Strain;
-pub use marllink_retries::{Effect, KeyScope};
-use marllink_server_state::Carrying;
-pub use marllink_server_state::Sign;
+use marllink_rate_limits::{ConnectionLimit, Rate, SlowStartBudget};
+pub use marllink_rebalancing::OverloadState;
+pub use marllink_retries::{DedupScope, Idempotency};
+use marllink_server_state::CapacityEstimate;
+pub use marllink_server_state::Symptom;
 use serde::{Deserialize, Serialize};
 
 /// Milliseconds, as a point on the node's monotonic clock or as a duration.
@@ -49,7 +49,7 @@
     /// Latency goal for setting up a connection: a later one has less value.
     pub setup_goal_ms: Millis,
     /// Whether, and under which conditions, a request may run more than once.
-    pub idempotency: Effect,
+    pub idempotency: Idempotency,
     /// Value of a served request, relative to other classes.
     pub value: f64,
     /// Latency goal for a message on an open connection; 0 if there is none.
@@ -58,7 +58,7 @@
 
 impl Default for Class {
     fn default() -> Self {
-        Self { setup_goal_ms: 500.0, idempotency: Effect::Safe, value: 1.0, message_goal_ms: 0.0 }
+        Self { setup_goal_ms: 500.0, idempotency: Idempotency::Safe, value: 1.0, message_goal_ms: 0.0 }
     }
 }
 
@@ -222,11 +222,12 @@
     }
 
     /// Returns the settings for load probes.
-    pub(crate) fn probe_settings(&self) -> marllink_server_state::Settings {
+    pub(crate) fn probe_settings(&self) -> marllink_server_state::ProbeSettings {
         let goals = self.classes.iter().map(|c| c.setup_goal_ms).filter(|goal| *goal > 0.0);
-        let defaults = marllink_server_state::Settings::default();
-        let patience_ms = defaults.patience_ms.min(goals.fold(f64::INFINITY, f64::min) * PROBE_WAIT_RATIO);
-        marllink_server_state::Settings { patience_ms, ..defaults }
+        let defaults = marllink_server_state::ProbeSettings::default();
+        let pick_timeout_ms =
+            defaults.pick_timeout_ms.min(goals.fold(f64::INFINITY, f64::min) * PROBE_WAIT_RATIO);
+        marllink_server_state::ProbeSettings { pick_timeout_ms, ..defaults }
     }
 }
 
@@ -395,7 +396,7 @@
         /// The server.
         server: ServerId,
         /// What was observed.
-        symptom: Sign,
+        symptom: Symptom,
     },
     /// The client disconnected; it needs no answer.
     ClientGone(RequestId),
@@ -471,7 +472,8 @@
     /// When it last started; 0 or less for long ago.
     pub started_at: Millis,
     /// Overload state derived from message delays.
-    pub strain: Strain,
+    #[serde(rename = "strain")]
+    pub overload: OverloadState,
     /// Earliest time of the next rebalancing by reported load.
     #[serde(rename = "relieve_at")]
     pub next_rebalance_at: Millis,
@@ -485,19 +487,19 @@
     #[serde(rename = "out_until")]
     pub ejected_until: Millis,
     /// Connections that this node may still send to it during slow start.
-    pub budget: Budget,
+    pub budget: SlowStartBudget,
 }
 
 impl Default for ServerHistory {
     fn default() -> Self {
         Self {
             started_at: 0.0,
-            strain: Strain::new(LONG_AGO),
+            overload: OverloadState::new(LONG_AGO),
             next_rebalance_at: LONG_AGO,
             consecutive_failures: 0,
             last_failure_at: LONG_AGO,
             ejected_until: LONG_AGO,
-            budget: Budget::new(0.0, LONG_AGO),
+            budget: SlowStartBudget::new(0.0, LONG_AGO),
         }
     }
 }
@@ -508,7 +510,7 @@
     pub fn shifted(self, by: Millis) -> Self {
         Self {
             started_at: if self.started_at > 0.0 { self.started_at + by } else { 0.0 },
-            strain: self.strain.shifted(by),
+            overload: self.overload.shifted(by),
             next_rebalance_at: self.next_rebalance_at + by,
             last_failure_at: self.last_failure_at + by,
             ejected_until: self.ejected_until + by,
@@ -529,9 +531,10 @@
     pub limiter_counts: [f64; 3],
     /// Estimated capacity of a unit of weight, from load reports.
     #[serde(rename = "carrying")]
-    pub capacity: Carrying,
+    pub capacity: CapacityEstimate,
     /// Limit on the own connections of all servers together.
-    pub shortage: Shortage,
+    #[serde(rename = "shortage")]
+    pub connection_limit: ConnectionLimit,
 }
 
 impl Default for FleetHistory {
@@ -539,8 +542,8 @@
         Self {
             setup_rate: Rate::new(1.0, LONG_AGO),
             limiter_counts: [0.0; 3],
-            capacity: Carrying::default(),
-            shortage: Shortage::new(LONG_AGO),
+            capacity: CapacityEstimate::default(),
+            connection_limit: ConnectionLimit::new(LONG_AGO),
         }
     }
 }
@@ -549,7 +552,11 @@
     /// Returns the same state on a clock that is ahead by `by`.
     #[must_use]
     pub fn shifted(self, by: Millis) -> Self {
-        Self { setup_rate: self.setup_rate.shifted(by), shortage: self.shortage.shifted(by), ..self }
+        Self {
+            setup_rate: self.setup_rate.shifted(by),
+            connection_limit: self.connection_limit.shifted(by),
+            ..self
+        }
     }
 }
 
