--- a/node/src/operations/maintenance.rs
+++ b/node/src/operations/maintenance.rs
@@ -156,7 +156,7 @@
     }
 
     fn in_maintenance(process: &Maintenance) -> Vec<ServerId> {
-        let mut servers = process.core.knowledge().in_maintenance;
+        let mut servers = process.core.learned_state().in_maintenance;
         servers.sort_unstable();
         servers
     }
