--- a/src/decide.rs
+++ b/src/decide.rs
@@ -2,6 +2,8 @@
 //!
 //! The basic rule is Greedy(D, d): the server with the fewest own open connections per weight
 //! among d uniform draws over the ready servers, with d derived from the weights ([`crate::draw_count`]).
+//! "Own" always means this node's, as no node sees the connections of the others.
+//!
 //! Exceptions are documented where they apply, each with what it guards against; `docs/design.md` lists them.
 
 mod handover;
@@ -22,16 +24,16 @@
 
 // ---- Tunables ---------------------------------------------------------------------------------
 
-/// Zone credit, in connections per 0.01 of the cross-zone price: a server of the own zone may hold this many
-/// connections more than others and still be picked.
+/// Zone credit, in connections per 0.01 of the cross-zone price: a server of the own zone is still preferred
+/// if it holds this many connections more than others.
 const ZONE_CREDIT_CONNECTIONS: f64 = 0.8;
 /// Maximum number of rounds of draws while all drawn servers are unusable (recently tried, or in slow start
 /// with an exhausted budget).
 const MAX_DRAW_ROUNDS: usize = 8;
-/// Servers beyond a group's share of the fleet that also receive its credit, each a smaller one.
+/// Number of servers beyond a group's share of the fleet that also receive group credit, each less of it.
 const GROUP_EXTRA_SERVER_COUNT: usize = 2;
 /// Group credit: the preferred servers of a group are drawn in addition to the others and count as holding
-/// this many connections less. What a group costs a server that holds any of it is unknown; a higher credit
+/// this many connections fewer. What a group costs a server that holds any of it is unknown; a higher credit
 /// would fill a group's first server before others of the same size.
 const GROUP_CREDIT_CONNECTIONS: f64 = 2.0;
 /// Factor by which the group credit falls with each server beyond the group's share.
@@ -81,7 +83,7 @@
 const SETUP_RATE_TAU_MS: Millis = 20_000.0;
 /// Time constant of the set-up rate that detects bursts, used where a budget is less than one connection.
 const BURST_RATE_TAU_MS: Millis = 1_000.0;
-/// Share of the load that would make a server in slow start collapse that it is sent at most. The rest
+/// Maximum load sent to a server in slow start, as a share of the load that makes it collapse. The rest
 /// allows for errors of the estimate, heavy connections, bursts, and nodes that do not know of it yet.
 const SLOW_START_MARGIN_RATIO: f64 = 0.5;
 /// The same share while the server reports less than `SLOW_START_IDLE_LOAD_RATIO`: if it has less capacity
@@ -174,11 +176,11 @@
     attempts: u8,
     /// Microseconds of work per second; 0 until reported.
     load: f64,
-    /// The first attempt that may have run.
-    ran: Option<PossibleExecution>,
+    /// The first attempt that may have been executed.
+    possible_execution: Option<PossibleExecution>,
 }
 
-/// The decisions of one node.
+/// Makes the balancing decisions of one node.
 #[derive(Debug)]
 pub struct Balancer {
     settings: Settings,
@@ -349,6 +351,8 @@
 
     // ---- Load counts and draws ------------------------------------------------------------------
 
+    /// Changes the count of own attempts and connections of a server. Releases its slot once it is gone and
+    /// holds nothing.
     fn add_open(&mut self, slot: usize, change: i32) {
         let server = &mut self.servers[slot];
         server.open = server.open.saturating_add_signed(change);
@@ -390,8 +394,8 @@
         round_stochastic(count * self.min_weight / weight, self.uniform()) as f64 / self.min_weight
     }
 
-    /// Returns the zone credit: if crossing zones has a price, servers of the own zone count as holding some
-    /// connections less. Own counts are balanced over all zones, so the basic rule would nearly always cross.
+    /// Returns the zone credit: if crossing zones has a price, servers of the own zone count as holding fewer
+    /// connections. Own counts are balanced over all zones, so the basic rule would nearly always cross.
     fn zone_credit(&self, slot: usize) -> f64 {
         let s = &self.servers[slot];
         let price = if s.zone == self.settings.zone { self.settings.prices.cross_zone } else { 0.0 };
@@ -414,7 +418,7 @@
             * self.draw_count
             * if prefers_zone { usize::from(self.settings.zones.max(1)) } else { 1 };
         let (mut seen, mut drawn) = (Vec::new(), Vec::<(f64, usize)>::new());
-        let (preferred, width) = self.group_servers(request.group);
+        let (preferred, in_share_count) = self.group_servers(request.group);
         for round in 0..MAX_DRAW_ROUNDS {
             for nth in 0..draws + preferred.len() {
                 let Some(slot) = preferred.get(nth).copied().or_else(|| self.draw()) else {
@@ -426,11 +430,11 @@
                     continue;
                 }
                 seen.push(slot);
-                if self.may_run_on(request, slot) && !self.is_full(slot) {
+                if self.may_execute_on(request, slot) && !self.is_full(slot) {
                     let group_rank = preferred.iter().position(|server| *server == slot);
                     let credit = group_rank.map_or(0.0, |rank| {
                         GROUP_CREDIT_CONNECTIONS
-                            * GROUP_CREDIT_DECAY_RATIO.powi((rank + 1).saturating_sub(width) as i32)
+                            * GROUP_CREDIT_DECAY_RATIO.powi((rank + 1).saturating_sub(in_share_count) as i32)
                     }) + if prefers_zone { self.zone_credit(slot) } else { 0.0 };
                     let unresponsive = self.probe_pool.is_unresponsive(self.now, self.servers[slot].id);
                     drawn.push((
@@ -440,8 +444,8 @@
                     ));
                 }
             }
-            // The slow-start budget is only checked for servers that would be picked: nearly every pick
-            // draws a server in slow start.
+            // The slow-start budget is only checked for servers that would be picked, since nearly every pick
+            // draws some server in slow start.
             while !drawn.is_empty() {
                 let mut best = self.least_loaded(&drawn, request.group);
                 let share = 1.0 / best.len() as f64;
@@ -474,21 +478,21 @@
     }
 
     /// Returns the preferred servers of a group, in an order that is the same at all nodes, and how many of
-    /// them correspond to the group's share of the fleet; none without a group.
+    /// them are within the group's share of the fleet; none without a group.
     fn group_servers(&mut self, group: u64) -> (Vec<usize>, usize) {
         if group == 0 {
             return (Vec::new(), 0);
         }
         let uniform = self.uniform();
-        let width = self.group_sizes.server_count(group, self.pickable.len(), uniform);
+        let in_share_count = self.group_sizes.server_count(group, self.pickable.len(), uniform);
         let server = |slot: &usize| (self.servers[*slot].id.0, self.servers[*slot].weight, *slot);
         (
             marllink_affinity::top_servers(
                 group,
                 self.pickable.iter().map(server),
-                width + GROUP_EXTRA_SERVER_COUNT,
+                in_share_count + GROUP_EXTRA_SERVER_COUNT,
             ),
-            width,
+            in_share_count,
         )
     }
 
@@ -502,7 +506,7 @@
                 request.redraws < MAX_REDRAW_COUNT && self.probe_pool.is_unresponsive(self.now, id);
             if self.servers[slot].pickable_index == NO_INDEX
                 || unresponsive
-                || !self.may_run_on(request, slot)
+                || !self.may_execute_on(request, slot)
             {
                 return 0.0;
             }
@@ -523,7 +527,7 @@
             let pending_attempts = s.open as usize - s.connections.len() - s.predecessor_held.0 as usize;
             s.pickable_index != NO_INDEX
                 && pending_attempts == 0
-                && self.may_run_on(request, slot)
+                && self.may_execute_on(request, slot)
                 && !self.is_full(slot)
                 && self.slow_start_allows(slot, 1.0)
         })
@@ -582,7 +586,7 @@
     }
 
     /// Moves all connections off a server that is unresponsive: its clients reach another server sooner than
-    /// it recovers.
+    /// it recovers. Its neighbours become suspect, as servers of a zone are often lost together.
     fn on_unresponsive(&mut self, id: ServerId, symptom: Symptom, actions: &mut Vec<Action>) {
         let Some(&slot) = self.slot_by_id.get(&id) else { return };
         match self.unresponsive_detector.record(self.now, id, symptom) {
@@ -646,7 +650,7 @@
 
     /// Probes servers with own connections although no pick is due, within a budget that grows with set-ups:
     /// where no message delays are reported, only load reports show that a server is overloaded.
-    fn review_loads(&mut self, actions: &mut Vec<Action>) {
+    fn refresh_loads(&mut self, actions: &mut Vec<Action>) {
         if self.may_probe() {
             let own = |s: &&Server| s.state == ServerState::Ready && !s.connections.is_empty();
             let servers = self.servers.iter().filter(own).map(|s| s.id).collect();
@@ -654,7 +658,7 @@
         }
     }
 
-    /// Passes an event to the load reports and carries out the resulting commands.
+    /// Passes an event to the probe pool and carries out the resulting commands.
     fn handle_probe_event(&mut self, event: ProbeEvent<ServerId, ReportedLoad>, actions: &mut Vec<Action>) {
         let mut commands = Vec::new();
         self.probe_pool.handle(self.now, event, &mut commands);
@@ -716,8 +720,8 @@
         }
     }
 
-    /// Moves connections off draining servers, evenly over `DRAIN_MS`. Those left when a server stops are cut
-    /// off, and when it stops is not known.
+    /// Moves connections off draining servers, evenly over `DRAIN_MS`. Connections left on a server are cut
+    /// off when it stops, and that time is not known in advance.
     fn move_off_draining(&mut self, actions: &mut Vec<Action>) {
         for slot in 0..self.servers.len() {
             let s = &self.servers[slot];
@@ -790,7 +794,7 @@
         self.tenant_shares.review(self.now, self.connection_count as f64, self.connections_on_overloaded());
         self.move_off_draining(actions);
         self.rebalance_overloaded(actions);
-        self.review_loads(actions);
+        self.refresh_loads(actions);
         if self.fleet.connection_limit.review_due(self.now) {
             self.update_available_weight();
             self.fleet.connection_limit.review(
@@ -844,9 +848,9 @@
             && self.current_load(slot) < SLOW_START_IDLE_LOAD_RATIO;
         let margin = if idle { SLOW_START_IDLE_MARGIN_RATIO } else { SLOW_START_MARGIN_RATIO };
         let max_load = rules.collapse_load_ratio * margin * self.capacity_ratio(slot) * s.weight;
-        let pace = SlowStartRate {
-            // This node's part of what fills the server within its warm-up time, as far as reports tell:
-            // rejected clients do not count in the own rate.
+        let rate = SlowStartRate {
+            // This node's share of the rate at which all nodes together fill the server within its warm-up
+            // time, as far as reports show that: the own set-up rate does not include rejected clients.
             share_per_ms: max_load * self.fleet.capacity.connections_per_weight()
                 / rules.warm_up_ms.max(1.0)
                 / nodes,
@@ -855,7 +859,7 @@
             window_ms: rules.collapse_after_ms,
             demand,
         };
-        self.servers[slot].history.budget.allows(self.now, &pace, uniform)
+        self.servers[slot].history.budget.allows(self.now, &rate, uniform)
     }
 
     // ---- Request lifecycle ----------------------------------------------------------------------
@@ -902,7 +906,7 @@
             sent_at: self.now,
             attempts: 0,
             load: 0.0,
-            ran: None,
+            possible_execution: None,
         }
     }
 
@@ -933,9 +937,14 @@
     }
 
     /// Returns true if the next attempt may go to this server.
-    fn may_run_on(&self, request: &RequestState, slot: usize) -> bool {
+    fn may_execute_on(&self, request: &RequestState, slot: usize) -> bool {
         let server = &self.servers[slot];
-        self.idempotency(request.class).may_execute_on(self.now, request.ran, server.zone.0, server.cell.0)
+        self.idempotency(request.class).may_execute_on(
+            self.now,
+            request.possible_execution,
+            server.zone.0,
+            server.cell.0,
+        )
     }
 
     /// Draws candidates for the next attempt and probes their load, or queues the request, or gives its
@@ -945,7 +954,7 @@
         let attempts_left = self.settings.limits.max_attempts.saturating_sub(request.attempts);
         let finished = time_left < MIN_TIME_LEFT_MS
             || attempts_left == 0
-            || !self.idempotency(request.class).may_repeat(self.now, request.ran);
+            || !self.idempotency(request.class).may_repeat(self.now, request.possible_execution);
         let over_quota = self.tenant_shares.rejects(self.now, request.tenant.0);
         if finished
             || over_quota
@@ -1039,21 +1048,21 @@
         actions.push(self.reject_or_fail(id, request, retry_after_ms));
     }
 
-    /// Returns the final answer. A rejection states that a retry is harmless, so a request that must not run
-    /// twice fails instead if it may have run.
+    /// Returns the final answer. A rejection states that a retry is harmless, so a request that must not be
+    /// executed twice fails instead if it may have been executed.
     fn reject_or_fail(&self, id: RequestId, request: &RequestState, retry_after_ms: Millis) -> Action {
-        let harmless = self.idempotency(request.class).client_may_retry(request.ran);
+        let harmless = self.idempotency(request.class).client_may_retry(request.possible_execution);
         if harmless { Action::Reject { request: id, retry_after_ms } } else { Action::Fail(id) }
     }
 
-    /// Gives the final answer when the node can't wait any longer. A pending attempt may still run.
+    /// Gives the final answer when the node can't wait any longer. A pending attempt may still execute.
     fn answer_now(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if request.phase == Phase::Attempting {
             let server = &self.servers[request.slot];
             let sent =
                 PossibleExecution { sent_at: request.sent_at, zone: server.zone.0, cell: server.cell.0 };
-            request.ran = request.ran.or(Some(sent));
+            request.possible_execution = request.possible_execution.or(Some(sent));
         }
         if !matches!(request.phase, Phase::Open | Phase::Finished) {
             actions.push(self.reject_or_fail(id, &self.requests[&id], 0.0));
@@ -1156,9 +1165,9 @@
             self.attribute_errors(&request.errored, false);
             return;
         }
-        if !outcome.never_ran() && request.ran.is_none() {
+        if !outcome.never_executed() && request.possible_execution.is_none() {
             let server = &self.servers[slot];
-            request.ran = Some(PossibleExecution {
+            request.possible_execution = Some(PossibleExecution {
                 sent_at: request.sent_at,
                 zone: server.zone.0,
                 cell: server.cell.0,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -48,7 +48,7 @@
 pub struct Class {
     /// Latency goal for setting up a connection: a later one has less value.
     pub setup_goal_ms: Millis,
-    /// Whether, and under which conditions, a request may run more than once.
+    /// Whether, and under which conditions, a request may be executed more than once.
     pub idempotency: Idempotency,
     /// Value of a served request, relative to other classes.
     pub value: f64,
@@ -314,7 +314,7 @@
 impl Outcome {
     /// Returns true if the attempt certainly had no effect.
     #[must_use]
-    pub fn never_ran(self) -> bool {
+    pub fn never_executed(self) -> bool {
         matches!(self, Self::Full | Self::ConnectFailed | Self::NotSent)
     }
 }
@@ -401,7 +401,7 @@
     /// The client disconnected; it needs no answer.
     ClientGone(RequestId),
     /// The node can't wait any longer, because it shuts down or the client's time runs out: the final
-    /// answer is due at once and depends on what may have run. A pending attempt is cancelled.
+    /// answer is due at once and depends on what may have been executed. A pending attempt is cancelled.
     AnswerNow(RequestId),
     /// Operators take a server into maintenance or return it to service.
     Maintenance {
@@ -586,7 +586,7 @@
         /// How long the client should wait before a retry; 0 for no advice.
         retry_after_ms: Millis,
     },
-    /// Final answer: failed; the request may have run.
+    /// Final answer: failed; the request may have been executed.
     Fail(RequestId),
     /// Ask the client of an open connection to reconnect.
     Move(RequestId),
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -144,7 +144,7 @@
     fn end(&mut self, id: RequestId, outcome: Outcome) {
         let seen = self.requests.get_mut(&id).expect("known");
         let Some((attempt, server, _, sent)) = seen.out.take() else { return };
-        if !outcome.never_ran() && seen.ran.is_none() {
+        if !outcome.never_executed() && seen.ran.is_none() {
             seen.ran = Some((sent, server));
         }
         let closed = seen.open || outcome == Outcome::Ok || seen.answers > 0;
