--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -1,14 +1,14 @@
-//! What a balancer keeps on disk: the latest of each thing that it knows by name, with when it was known.
+//! Persistent store of a balancer: the latest record under each name, with the time at which it was observed.
 //!
-//! A folder holds one log. Each record in it is whole by itself, with a checksum, so that a part that is
-//! damaged costs that part alone, and a write that a crash cut off costs that write alone. Now and then the log
-//! is written anew without what is outdated, beside the old one, and takes its place in one step.
+//! A store is a directory with one log file. Every record in the log carries its own checksum, so damage to a region
+//! loses only the records in that region, and a write interrupted by a crash loses only that write. Compaction writes
+//! the records in force to a second file and atomically renames it over the log.
 //!
-//! [`frame`] is the format, pure. [`Store`] reads and writes one by way of a [`Disk`]. A [`Writer`] does that on a
-//! thread of its own: a disk that is full, read-only, hangs or vanishes never stalls whoever has something to keep.
+//! [`frame`] defines the format and performs no I/O. [`Store`] reads and writes a store through a [`Disk`]. [`Writer`]
+//! writes on a background thread, so that a disk that is full, read-only, hanging or missing never blocks the caller.
 //!
-//! In this order: [`read`] at the start, which needs no lock and changes nothing; then [`Writer::open`], and
-//! [`Writer::put`] whenever something has changed.
+//! Typical use: call [`read`] at startup, which takes no lock and modifies nothing, then [`Writer::open`], then
+//! [`Writer::put`] after each change.
 
 pub mod frame;
 mod store;
@@ -18,36 +18,36 @@
 pub use store::{Disk, FileDisk, Store, read};
 pub use writer::Writer;
 
-/// The log's name in its folder.
+/// File name of the log.
 pub const LOG_FILE: &str = "state.log";
-/// Its draft while it is written anew.
+/// File name of the new log while compaction writes it.
 pub const DRAFT_FILE: &str = "state.new";
-/// Who writes holds a lock on this file.
+/// File on which the writing process holds an exclusive lock.
 pub const LOCK_FILE: &str = "state.lock";
 
-/// What keeps a store from being used.
+/// Reasons why a store can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// A newer program has written it.
+    /// The log has a format version that this program does not support.
     #[error(
-        "written by a newer program (version {found}, this one reads up to {supported}); start that one, or name another folder"
+        "written by a newer program (format version {found}, this program supports up to {supported}); run the newer program, or configure another folder"
     )]
     NewerVersion {
-        /// The version in the file.
+        /// The version found in the log.
         found: u32,
-        /// The highest that this program reads.
+        /// The highest version that this program supports.
         supported: u32,
     },
-    /// It does not begin as a store does.
-    #[error("{LOG_FILE} is no store; name another folder, or remove the file")]
+    /// The log has no valid header and contains no intact record.
+    #[error("{LOG_FILE} is not a store; configure another folder, or remove the file")]
     NotAStore,
-    /// Another process writes it.
+    /// Another process holds the lock.
     #[error("another process writes it; each balancer needs a folder of its own")]
     Locked,
-    /// A record is longer than any may be.
-    #[error("a record of {0} bytes, {max} at most", max = frame::MAX_BODY_BYTES)]
+    /// The record's body exceeds [`frame::MAX_BODY_BYTES`].
+    #[error("a record of {0} bytes exceeds the limit of {max} bytes", max = frame::MAX_BODY_BYTES)]
     RecordTooLong(usize),
-    /// The disk.
+    /// An I/O operation failed.
     #[error("{0}")]
     Io(#[from] std::io::Error),
 }
--- a/store/src/store.rs
+++ b/store/src/store.rs
@@ -1,4 +1,4 @@
-//! One folder with one log.
+//! A store: one directory with one log.
 
 use crate::frame::{self, LogContents, Record};
 use crate::{DRAFT_FILE, Error, LOCK_FILE, LOG_FILE};
@@ -8,48 +8,48 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// The log is written anew once it holds so many times what is in force ...
-const GROWN: usize = 4;
-/// ... and so many bytes: a small one is not worth it.
-const SMALL: usize = 64 * 1024;
+/// The log is compacted once it is larger than this multiple of the records in force.
+const COMPACTION_RATIO: usize = 4;
+/// Minimum log size for compaction: rewriting a small log saves too little.
+const MIN_COMPACTION_BYTES: usize = 64 * 1024;
 
-/// Where a log lies. Each call is durable once it returns, and may fail at any byte.
+/// File operations that a store needs. Each operation is durable once it returns, and may fail after any byte.
 pub trait Disk {
-    /// All of a file; empty if it is not there.
+    /// Returns the contents of a file, or no bytes if it does not exist.
     ///
     /// # Errors
-    /// As the disk has it.
+    /// Returns the I/O error of the disk.
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>>;
-    /// Adds to the end of a file, which is made if it is not there.
+    /// Appends to a file, which is created if it does not exist.
     ///
     /// # Errors
-    /// As the disk has it; a part may have been written.
+    /// Returns the I/O error of the disk; some of the bytes may have been written.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Writes a file anew.
+    /// Creates a file, or truncates an existing one, and writes the bytes.
     ///
     /// # Errors
-    /// As the disk has it; a part may have been written.
+    /// Returns the I/O error of the disk; some of the bytes may have been written.
     fn write(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Puts a file in the place of another, in one step.
+    /// Atomically replaces the file `name` with the file `replacement`.
     ///
     /// # Errors
-    /// As the disk has it; then nothing has changed.
-    fn replace(&mut self, name: &str, by: &str) -> io::Result<()>;
+    /// Returns the I/O error of the disk; in this case nothing has changed.
+    fn replace(&mut self, name: &str, replacement: &str) -> io::Result<()>;
 }
 
-/// Files in a folder.
+/// A directory in the file system that is locked for this process.
 #[derive(Debug)]
 pub struct FileDisk {
     folder: PathBuf,
-    /// Held for as long as this lives: one process writes.
+    /// Holds the lock until the value is dropped, so that only one process writes.
     _lock: File,
 }
 
 impl FileDisk {
-    /// Takes a folder for this process, and makes it if it is not there.
+    /// Locks a directory for this process, and creates it if it does not exist.
     ///
     /// # Errors
-    /// Fails if another process has it, or as the disk has it.
+    /// Fails if another process holds the lock, or with the I/O error of the disk.
     pub fn lock(folder: &Path) -> Result<Self, Error> {
         std::fs::create_dir_all(folder)?;
         let lock =
@@ -62,7 +62,7 @@
     }
 }
 
-fn bytes_of(path: &Path) -> io::Result<Vec<u8>> {
+fn read_or_empty(path: &Path) -> io::Result<Vec<u8>> {
     match std::fs::read(path) {
         Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(Vec::new()),
         read => read,
@@ -71,7 +71,7 @@
 
 impl Disk for FileDisk {
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>> {
-        bytes_of(&self.folder.join(name))
+        read_or_empty(&self.folder.join(name))
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
@@ -86,64 +86,65 @@
         file.sync_all()
     }
 
-    fn replace(&mut self, name: &str, by: &str) -> io::Result<()> {
-        std::fs::rename(self.folder.join(by), self.folder.join(name))?;
-        // The step itself is durable once the folder is.
+    fn replace(&mut self, name: &str, replacement: &str) -> io::Result<()> {
+        std::fs::rename(self.folder.join(replacement), self.folder.join(name))?;
+        // The rename is durable only after the directory has been synced.
         File::open(&self.folder)?.sync_all()
     }
 }
 
-/// Reads what a folder holds, without a lock and without a change; a folder that is not there holds nothing.
+/// Reads the contents of a store without locking or modifying it. A directory that does not exist contains no records.
 ///
 /// # Errors
-/// Fails if it can't be read, a newer program has written it, or it is no store.
+/// Fails if the log can't be read, was written by a newer program, or is not a store.
 pub fn read(folder: &Path) -> Result<LogContents, Error> {
-    frame::decode(&bytes_of(&folder.join(LOG_FILE))?)
+    frame::decode(&read_or_empty(&folder.join(LOG_FILE))?)
 }
 
-/// A store that is open for writing: one owner at a time.
+/// A store that is open for writing. Each store has one writer at a time.
 #[derive(Debug)]
 pub struct Store<D> {
     disk: D,
     latest: BTreeMap<String, Record>,
-    /// Bytes of the log, and of the records in force in it.
-    size: usize,
-    /// A write has failed, and what it left at the end is not known: the next one writes the log anew.
+    /// Length of the log, including superseded records.
+    log_bytes: usize,
+    /// True after a failed write, whose remains at the end of the log are unknown: the next write compacts the log.
     torn: bool,
 }
 
 impl<D: Disk> Store<D> {
-    /// Opens it with all that is sound in it.
+    /// Opens a store and loads all intact records.
     ///
     /// # Errors
-    /// Fails if it can't be read, a newer program has written it, or it is no store.
+    /// Fails if the log can't be read, was written by a newer program, or is not a store.
     pub fn open(mut disk: D) -> Result<Self, Error> {
-        let found = frame::decode(&disk.read(LOG_FILE)?)?;
-        let torn = found.damaged_bytes > 0;
-        Ok(Self { disk, latest: found.latest, size: found.total_bytes, torn })
+        let contents = frame::decode(&disk.read(LOG_FILE)?)?;
+        let torn = contents.damaged_bytes > 0;
+        Ok(Self { disk, latest: contents.latest, log_bytes: contents.total_bytes, torn })
     }
 
-    /// What is in force.
+    /// Returns the records in force, by name.
     #[must_use]
     pub fn latest(&self) -> &BTreeMap<String, Record> {
         &self.latest
     }
 
-    /// Keeps a record, unless a later one of its name is held: what is old never replaces what is newer. True once
-    /// it is durable.
+    /// Writes a record, unless the store has a later one with the same name. Returns true once the record is durable,
+    /// and false if it was ignored as outdated.
     ///
     /// # Errors
-    /// Fails as the disk has it, or if it is too long; what was in force before still is.
+    /// Fails with the I/O error of the disk, or if the record is too long. The previous record then stays in force.
     pub fn put(&mut self, record: Record) -> Result<bool, Error> {
-        if self.latest.get(&record.name).is_some_and(|held| held.at > record.at) {
+        if self.latest.get(&record.name).is_some_and(|current| current.at > record.at) {
             return Ok(false);
         }
         let bytes = frame::encode(&record)?;
-        let before = self.latest.insert(record.name.clone(), record.clone());
-        let written = if self.torn || self.grown(bytes.len()) { self.compact() } else { self.append(bytes) };
+        let previous = self.latest.insert(record.name.clone(), record.clone());
+        let written =
+            if self.torn || self.needs_compaction(bytes.len()) { self.compact() } else { self.append(bytes) };
         if let Err(error) = written {
-            match before {
-                Some(before) => self.latest.insert(record.name, before),
+            match previous {
+                Some(previous) => self.latest.insert(record.name, previous),
                 None => self.latest.remove(&record.name),
             };
             return Err(error);
@@ -151,30 +152,30 @@
         Ok(true)
     }
 
-    /// With so many bytes more, the log holds far more than what is in force.
-    fn grown(&self, more: usize) -> bool {
-        if self.size + more <= SMALL {
+    /// Returns true if the log, with `added_bytes` more, is due for compaction.
+    fn needs_compaction(&self, added_bytes: usize) -> bool {
+        if self.log_bytes + added_bytes <= MIN_COMPACTION_BYTES {
             return false;
         }
-        let bytes = self.latest.values().filter_map(|r| frame::encode(r).ok()).map(|b| b.len());
-        self.size + more > GROWN * bytes.sum::<usize>()
+        let live_bytes = self.latest.values().filter_map(|r| frame::encode(r).ok()).map(|b| b.len());
+        self.log_bytes + added_bytes > COMPACTION_RATIO * live_bytes.sum::<usize>()
     }
 
     fn append(&mut self, mut bytes: Vec<u8>) -> Result<(), Error> {
-        if self.size == 0 {
+        if self.log_bytes == 0 {
             bytes = [frame::header(), bytes].concat();
         }
         self.torn = true;
         self.disk.append(LOG_FILE, &bytes)?;
         self.torn = false;
-        self.size += bytes.len();
+        self.log_bytes += bytes.len();
         Ok(())
     }
 
-    /// Writes the log anew with nothing but what is in force.
+    /// Rewrites the log with only the records in force.
     ///
     /// # Errors
-    /// Fails as the disk has it; the log is then as it was.
+    /// Fails with the I/O error of the disk; the log is then unchanged.
     pub fn compact(&mut self) -> Result<(), Error> {
         let mut bytes = frame::header();
         for record in self.latest.values() {
@@ -182,7 +183,7 @@
         }
         self.disk.write(DRAFT_FILE, &bytes)?;
         self.disk.replace(LOG_FILE, DRAFT_FILE)?;
-        (self.size, self.torn) = (bytes.len(), false);
+        (self.log_bytes, self.torn) = (bytes.len(), false);
         Ok(())
     }
 }
--- a/store/src/writer.rs
+++ b/store/src/writer.rs
@@ -1,4 +1,4 @@
-//! Writing on a thread of its own.
+//! Writing to a store on a background thread.
 
 use crate::frame::Record;
 use crate::{Error, FileDisk, Store};
@@ -7,57 +7,61 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// After a fault the disk is tried again with the next record, or after this.
-const AGAIN: Duration = Duration::from_millis(500);
+/// Maximum time between a failed write and the next attempt. A new record triggers an attempt earlier.
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What waits to be written: the latest under each name, so that a disk that hangs costs no memory.
+/// Records that wait to be written. Only the latest under each name waits, so that a hanging disk does not consume
+/// memory.
 #[derive(Debug, Default)]
-struct Waiting {
+struct Pending {
     records: BTreeMap<String, Record>,
-    ends: bool,
+    shutdown: bool,
 }
 
 #[derive(Debug, Default)]
 struct Shared {
-    waiting: Mutex<Waiting>,
+    pending: Mutex<Pending>,
     changed: Condvar,
 }
 
 impl Shared {
-    fn waiting(&self) -> MutexGuard<'_, Waiting> {
-        // Whoever panicked with it held no half-made change.
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn pending(&self) -> MutexGuard<'_, Pending> {
+        // Recovers from a poisoned lock: no holder of the lock leaves a partial change when it panics.
+        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Keeps records in a folder, on a thread of its own. Dropped, it writes what still waits if the disk answers at
-/// once, and never waits for a disk that does not.
+/// Writes records to a store on a background thread. When it is dropped, the thread makes one attempt to write the
+/// pending records and then ends; dropping never waits for it.
 #[derive(Debug)]
 pub struct Writer {
     shared: Arc<Shared>,
 }
 
 impl Writer {
-    /// Begins. The folder is opened on that thread. `told` hears of the first fault, and of its end: a disk that is
-    /// full, read-only or gone, or a folder that another process writes. Until then all goes on without.
+    /// Starts the thread, which opens the store in `folder`. `on_status_change` is called with the first error of a
+    /// series, and with `Ok` when writing succeeds again. Errors are a disk that is full, read-only or missing, or a
+    /// directory that another process writes; the balancer continues without the store meanwhile.
     ///
     /// # Errors
-    /// Fails if there can be no thread.
+    /// Fails if the thread can't be started.
     pub fn open(
         folder: PathBuf,
-        told: impl FnMut(Result<(), &Error>) + Send + 'static,
+        on_status_change: impl FnMut(Result<(), &Error>) + Send + 'static,
     ) -> std::io::Result<Self> {
         let shared = Arc::new(Shared::default());
-        let own = shared.clone();
-        std::thread::Builder::new().name("store".into()).spawn(move || write(&own, &folder, told))?;
+        let thread_shared = shared.clone();
+        std::thread::Builder::new()
+            .name("store".into())
+            .spawn(move || run(&thread_shared, &folder, on_status_change))?;
         Ok(Self { shared })
     }
 
-    /// Has this kept. Returns at once; a later record of the same name takes the place of one that still waits.
+    /// Queues a record for writing and returns at once. A later record replaces a pending one with the same name.
     pub fn put(&self, record: Record) {
-        let mut waiting = self.shared.waiting();
-        if waiting.records.get(&record.name).is_none_or(|held| held.at <= record.at) {
-            waiting.records.insert(record.name.clone(), record);
+        let mut pending = self.shared.pending();
+        if pending.records.get(&record.name).is_none_or(|queued| queued.at <= record.at) {
+            pending.records.insert(record.name.clone(), record);
         }
         self.shared.changed.notify_one();
     }
@@ -65,55 +69,55 @@
 
 impl Drop for Writer {
     fn drop(&mut self) {
-        self.shared.waiting().ends = true;
+        self.shared.pending().shutdown = true;
         self.shared.changed.notify_one();
     }
 }
 
-fn write(shared: &Shared, folder: &std::path::Path, mut told: impl FnMut(Result<(), &Error>)) {
-    let (mut open, mut faulty) = (None::<Store<FileDisk>>, false);
+fn run(shared: &Shared, folder: &std::path::Path, mut on_status_change: impl FnMut(Result<(), &Error>)) {
+    let (mut store, mut failing) = (None::<Store<FileDisk>>, false);
     loop {
-        let (batch, ends) = {
-            let mut waiting = shared.waiting();
-            while waiting.records.is_empty() && !waiting.ends {
-                waiting = shared.changed.wait(waiting).unwrap_or_else(PoisonError::into_inner);
+        let (batch, shutdown) = {
+            let mut pending = shared.pending();
+            while pending.records.is_empty() && !pending.shutdown {
+                pending = shared.changed.wait(pending).unwrap_or_else(PoisonError::into_inner);
             }
-            (std::mem::take(&mut waiting.records), waiting.ends)
+            (std::mem::take(&mut pending.records), pending.shutdown)
         };
-        let done = write_all(&mut open, folder, &batch);
-        if done.is_err() != faulty {
-            faulty = done.is_err();
-            told(done.as_ref().map(|_| ()));
+        let result = write_batch(&mut store, folder, &batch);
+        if result.is_err() != failing {
+            failing = result.is_err();
+            on_status_change(result.as_ref().map(|_| ()));
         }
-        if ends {
+        if shutdown {
             return;
         }
-        if faulty {
-            // What could not be written waits again, unless something later has come.
-            let mut waiting = shared.waiting();
+        if failing {
+            // Queues the failed records again, except those that have been superseded meanwhile.
+            let mut pending = shared.pending();
             for (name, record) in batch {
-                waiting.records.entry(name).or_insert(record);
+                pending.records.entry(name).or_insert(record);
             }
-            if !waiting.ends {
-                drop(shared.changed.wait_timeout(waiting, AGAIN));
+            if !pending.shutdown {
+                drop(shared.changed.wait_timeout(pending, RETRY_INTERVAL));
             }
         }
     }
 }
 
-fn write_all(
-    open: &mut Option<Store<FileDisk>>,
+fn write_batch(
+    store: &mut Option<Store<FileDisk>>,
     folder: &std::path::Path,
     batch: &BTreeMap<String, Record>,
 ) -> Result<(), Error> {
-    if open.is_none() {
-        *open = Some(Store::open(FileDisk::lock(folder)?)?);
+    if store.is_none() {
+        *store = Some(Store::open(FileDisk::lock(folder)?)?);
     }
-    let Some(store) = open else { return Ok(()) };
+    let Some(open_store) = store else { return Ok(()) };
     for record in batch.values() {
-        if let Err(error) = store.put(record.clone()) {
-            // A folder that has vanished is made anew by the next try.
-            *open = None;
+        if let Err(error) = open_store.put(record.clone()) {
+            // Closes the store, so that the next attempt recreates a directory that has been removed.
+            *store = None;
             return Err(error);
         }
     }
