--- a/lease-protocol/src/lib.rs
+++ b/lease-protocol/src/lib.rs
@@ -1,12 +1,12 @@
-//! What balancers and the keepers of sessions say to each other.
+//! The protocol between balancers and lease replicas.
 //!
-//! A connection to a form host's port that begins with the line of [`hello_line`] is a link: the form host
-//! answers with the line of [`welcome_line`], and from then on frames go both ways, [`Call`]s from the
-//! balancer and [`Reply`]s from the form host, in order and without waiting for one another. A frame is
-//! a protobuf message after its length as a varint. `docs/keeper.proto` has the same for other
-//! languages, `docs/protocol-resume.md` what each call means.
+//! Lease replicas are servers that store session records and grant session leases. A connection to a server's port
+//! that begins with a [`hello_line`] is a link: the server replies with a [`welcome_line`], and from then on both sides
+//! send frames, [`Call`]s from the balancer and [`Reply`]s from the server, in order and without waiting for one
+//! another. A frame is a protobuf message preceded by its length as a varint. `docs/keeper.proto` defines the same
+//! messages for other languages, and `docs/protocol-resume.md` describes the meaning of each call.
 //!
-//! This package is syntax: it knows neither sockets nor what a keeper answers.
+//! This crate contains only the syntax. It does no I/O, and does not implement a replica's replies.
 
 mod frame;
 mod messages;
--- a/lease-protocol/src/messages.rs
+++ b/lease-protocol/src/messages.rs
@@ -1,15 +1,15 @@
-//! The messages. Fields that are `required` are told always; one that is missing counts as zero.
+//! Messages of the protocol. `required` fields are always sent; a missing one decodes to its zero value.
 
 use prost::{Message, Oneof};
 use serde::{Deserialize, Serialize};
 
-/// A session, drawn at random by the balancer that began it.
+/// Identifier of a session, drawn at random by the balancer that creates it.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Message, Serialize, Deserialize)]
 pub struct SessionId {
-    /// The first half.
+    /// Upper half of the identifier.
     #[prost(fixed64, required, tag = "1")]
     pub hi: u64,
-    /// The second half.
+    /// Lower half of the identifier.
     #[prost(fixed64, required, tag = "2")]
     pub lo: u64,
 }
@@ -20,13 +20,14 @@
     }
 }
 
-/// The number of a claim, and of a form host's turn under it. A higher one shuts out all lower ones.
+/// Number of a claim on a session, and of an attempt to place the session under it. A higher ballot
+/// invalidates all lower ones.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Message, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Counts the claims on a session.
+    /// Number of the claim, counted over the lifetime of the session.
     #[prost(uint64, required, tag = "1")]
     pub epoch: u64,
-    /// Counts the form hosts that were asked under this claim; 0 for the claim itself.
+    /// Number of the server at which this claim attempts to place the session; 0 for the claim itself.
     #[prost(uint32, required, tag = "2")]
     pub attempt: u32,
 }
@@ -37,388 +38,390 @@
     }
 }
 
-/// A form host as a keeper.
+/// A server in its role as a lease replica.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Message, Serialize, Deserialize)]
 pub struct Member {
-    /// The number of its name.
+    /// Number that identifies the server, derived from its name.
     #[prost(fixed64, required, tag = "1")]
     pub server: u64,
-    /// Its present life: one that has begun anew is another member.
+    /// Number of the server's current run. A restarted server is a different member.
     #[prost(fixed64, required, tag = "2")]
     pub incarnation: u64,
 }
 
-/// The keepers of a session.
+/// The lease replicas of a session.
 #[derive(Clone, PartialEq, Eq, Hash, Message, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Counts the changes.
+    /// Number of the configuration, which increases with each change of the members.
     #[prost(uint32, required, tag = "1")]
     pub number: u32,
-    /// Who they are.
+    /// The replicas.
     #[prost(message, repeated, tag = "2")]
     pub members: Vec<Member>,
 }
 
 impl Configuration {
-    /// So many of them are a majority.
+    /// Returns the number of members that form a majority.
     #[must_use]
     pub fn majority(&self) -> usize {
         self.members.len() / 2 + 1
     }
 }
 
-/// A field as it was saved last.
+/// A field of a session with its last saved value.
 #[derive(Clone, PartialEq, Eq, Message, Serialize, Deserialize)]
 pub struct Field {
-    /// Its name.
+    /// Name of the field.
     #[prost(string, required, tag = "1")]
     pub name: String,
-    /// The number of that save.
+    /// Number of the save that wrote the value.
     #[prost(uint64, required, tag = "2")]
     pub n: u64,
-    /// What was saved.
+    /// The saved value.
     #[prost(bytes = "vec", required, tag = "3")]
     pub value: Vec<u8>,
 }
 
-/// What the saves of a session come to.
+/// Combined result of the saves of a session.
 #[derive(Clone, PartialEq, Eq, Message, Serialize, Deserialize)]
 pub struct Journal {
-    /// The number of the last save in it.
+    /// Number of the last save included.
     #[prost(uint64, required, tag = "1")]
     pub upto: u64,
-    /// The fields, in the order of their names.
+    /// The saved fields, ordered by name.
     #[prost(message, repeated, tag = "2")]
     pub fields: Vec<Field>,
 }
 
-/// A form host that was given a session.
+/// A server at which a session was placed.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Holder {
-    /// Under which ballot.
+    /// Ballot under which the session was placed there.
     #[prost(message, required, tag = "1")]
     pub ballot: Ballot,
-    /// Who it is.
+    /// Number of the server.
     #[prost(fixed64, required, tag = "2")]
     pub server: u64,
 }
 
-/// The keepers of a session are now these.
+/// Redirects to the session's new configuration of replicas.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Pointer {
-    /// Under which ballot that was written.
+    /// Ballot under which the pointer was written.
     #[prost(message, required, tag = "1")]
     pub ballot: Ballot,
-    /// Who they are.
+    /// The new configuration.
     #[prost(message, required, tag = "2")]
     pub to: Configuration,
 }
 
-/// The lease of the balancer process at the other end is to run for so long from now.
+/// Renews the lease of the connected balancer process: it expires after the given time from now.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Renew {
-    /// Counts the renewals.
+    /// Number of the renewal.
     #[prost(uint64, required, tag = "1")]
     pub k: u64,
-    /// In milliseconds.
+    /// Duration of the lease, in milliseconds.
     #[prost(uint32, required, tag = "2")]
     pub ms: u32,
 }
 
-/// Asks for a promise to take nothing under a lower ballot any more.
+/// Requests the promise to accept no lower ballot for a session.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Claim {
-    /// Of this session.
+    /// The session.
     #[prost(message, required, tag = "1")]
     pub session: SessionId,
-    /// Under this ballot.
+    /// Ballot of the claim.
     #[prost(message, required, tag = "2")]
     pub ballot: Ballot,
-    /// The number of the configuration that the claimer asks by; pointers to later ones are told.
+    /// Number of the configuration that the claimant knows; the reply includes pointers to later ones.
     #[prost(uint32, required, tag = "3")]
     pub configuration: u32,
-    /// The epoch of the token that the client has shown.
+    /// Epoch of the token that the client presented.
     #[prost(uint64, required, tag = "4")]
     pub token_epoch: u64,
-    /// Holders up to this ballot have let go.
+    /// All holders up to this ballot have released the session.
     #[prost(message, optional, tag = "5")]
     pub proof: Option<Ballot>,
 }
 
-/// Writes a session's record, under a claim that a majority has promised.
+/// Writes the record of a session, under a claim that a majority has promised.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Hold {
-    /// Of this session.
+    /// The session.
     #[prost(message, required, tag = "1")]
     pub session: SessionId,
-    /// Under this ballot.
+    /// Ballot under which the record is written.
     #[prost(message, required, tag = "2")]
     pub ballot: Ballot,
-    /// The form host that is to hold it; 0 for none.
+    /// Number of the server that is to hold the session; 0 for none.
     #[prost(fixed64, required, tag = "3")]
     pub holder: u64,
-    /// What has been saved.
+    /// The saved fields.
     #[prost(message, required, tag = "4")]
     pub journal: Journal,
-    /// The epoch that its client has confirmed.
+    /// Epoch that the client has confirmed.
     #[prost(uint64, required, tag = "5")]
     pub confirmed: u64,
-    /// The process that has passed the session on to this one, under the same ballot; 0 for none.
+    /// Owner number of the process that handed the session over to this one under the same ballot; 0 for
+    /// none.
     #[prost(fixed64, required, tag = "6")]
     pub from: u64,
-    /// A number that the answer repeats.
+    /// Tag that the reply repeats.
     #[prost(uint32, required, tag = "7")]
     pub tag: u32,
-    /// The record may go once nobody's lease has covered it for so long, in milliseconds.
+    /// Retention period in milliseconds: the record may be deleted once no lease has covered it for this
+    /// time.
     #[prost(uint64, required, tag = "8")]
     pub keep_ms: u64,
-    /// The number of the configuration in which this keeper is told.
+    /// Number of the configuration of which this replica is a member.
     #[prost(uint32, required, tag = "9")]
     pub configuration: u32,
 }
 
-/// Adds one save to a record that was written under the same ballot.
+/// Appends one save to a record that was written under the same ballot.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Append {
-    /// Of this session.
+    /// The session.
     #[prost(message, required, tag = "1")]
     pub session: SessionId,
-    /// Under this ballot.
+    /// Ballot of the record.
     #[prost(message, required, tag = "2")]
     pub ballot: Ballot,
-    /// What is saved.
+    /// The saved field.
     #[prost(message, required, tag = "3")]
     pub field: Field,
 }
 
-/// The session's client has the token of this ballot's epoch: no older one is good any more.
+/// Confirms that the client has received the token of the ballot's epoch, which invalidates all older tokens.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Confirm {
-    /// Of this session.
+    /// The session.
     #[prost(message, required, tag = "1")]
     pub session: SessionId,
-    /// Under this ballot.
+    /// Ballot whose epoch is confirmed.
     #[prost(message, required, tag = "2")]
     pub ballot: Ballot,
 }
 
-/// Writes a pointer.
+/// Writes a pointer to a later configuration.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Point {
-    /// Of this session.
+    /// The session.
     #[prost(message, required, tag = "1")]
     pub session: SessionId,
-    /// The pointer, and under which ballot.
+    /// The pointer, with the ballot under which it is written.
     #[prost(message, required, tag = "2")]
     pub pointer: Pointer,
 }
 
-/// The session is nobody's any more: it may be claimed at once.
+/// Releases a session: any process may claim it at once.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Release {
-    /// Which.
+    /// The session.
     #[prost(message, required, tag = "1")]
     pub session: SessionId,
-    /// By whom it was held or claimed.
+    /// Ballot under which the session was held or claimed.
     #[prost(message, required, tag = "2")]
     pub ballot: Ballot,
-    /// It is over, and what is kept of it can go.
+    /// True if the session has ended, so that its record can be deleted.
     #[prost(bool, required, tag = "3")]
     pub over: bool,
 }
 
-/// To a holder: let go of the session, and take it under no ballot up to this one any more.
+/// Requests that the holder release a session and accept no ballot up to this one for it.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct LetGo {
-    /// Of this session.
+    /// The session.
     #[prost(message, required, tag = "1")]
     pub session: SessionId,
-    /// Up to this ballot.
+    /// Highest ballot to which the request applies.
     #[prost(message, required, tag = "2")]
     pub ballot: Ballot,
 }
 
-/// From a balancer to a form host.
+/// A message from a balancer to a server.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Call {
-    /// What it asks.
+    /// The call.
     #[prost(oneof = "call::Body", tags = "1, 2, 3, 4, 5, 6, 7, 8")]
     pub body: Option<call::Body>,
 }
 
 impl Call {
-    /// A call of this.
+    /// Creates a call with this body.
     #[must_use]
     pub fn new(body: call::Body) -> Self {
         Self { body: Some(body) }
     }
 }
 
-/// What calls ask.
+/// Bodies of calls.
 pub mod call {
     use super::{Append, Claim, Confirm, Hold, LetGo, Oneof, Point, Release, Renew};
 
-    /// What a call asks.
+    /// Body of a call.
     #[derive(Clone, PartialEq, Eq, Oneof)]
     pub enum Body {
-        /// A lease.
+        /// Renews the lease.
         #[prost(message, tag = "1")]
         Renew(Renew),
-        /// A promise.
+        /// Claims a session.
         #[prost(message, tag = "2")]
         Claim(Claim),
-        /// A record.
+        /// Writes a session's record.
         #[prost(message, tag = "3")]
         Hold(Hold),
-        /// A save.
+        /// Appends a save to a record.
         #[prost(message, tag = "4")]
         Append(Append),
-        /// A confirmed epoch.
+        /// Confirms the client's epoch.
         #[prost(message, tag = "5")]
         Confirm(Confirm),
-        /// A pointer.
+        /// Writes a pointer.
         #[prost(message, tag = "6")]
         Point(Point),
-        /// A release. It has no answer.
+        /// Releases a session. This call has no reply.
         #[prost(message, tag = "7")]
         Release(Release),
-        /// A holder's letting go.
+        /// Requests the release of a session by its holder.
         #[prost(message, tag = "8")]
         LetGo(LetGo),
     }
 }
 
-/// The lease runs.
+/// Reply to a renewal: the lease is in force.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Renewed {
-    /// The renewal that this answers.
+    /// Number of the renewal.
     #[prost(uint64, required, tag = "1")]
     pub k: u64,
 }
 
-/// Answers a claim: promised.
+/// Reply to a claim: the promise is given.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Promised {
-    /// For this session.
+    /// The session.
     #[prost(message, required, tag = "1")]
     pub session: SessionId,
-    /// Under this ballot.
+    /// Ballot of the claim.
     #[prost(message, required, tag = "2")]
     pub ballot: Ballot,
-    /// The ballot under which the journal was written.
+    /// Ballot under which the journal was written.
     #[prost(message, required, tag = "3")]
     pub written: Ballot,
     /// The journal.
     #[prost(message, required, tag = "4")]
     pub journal: Journal,
-    /// The epoch that the client has confirmed.
+    /// Epoch that the client has confirmed.
     #[prost(uint64, required, tag = "5")]
     pub confirmed: u64,
-    /// Pointers to configurations after the one asked by.
+    /// Pointers to configurations later than the one named in the claim.
     #[prost(message, repeated, tag = "6")]
     pub pointers: Vec<Pointer>,
-    /// The number of the configuration in which the journal was written.
+    /// Number of the configuration in which the journal was written.
     #[prost(uint32, required, tag = "7")]
     pub configuration: u32,
 }
 
-/// Why a claim, a record, a save or a pointer was not taken.
+/// Reason why a claim, a record, a save or a pointer was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum Why {
-    /// There is no record of this session here.
+    /// The replica has no record of the session.
     Unknown = 0,
-    /// Another ballot was promised, which is told.
+    /// Another ballot was promised, which the reply includes.
     Outbid = 1,
-    /// It is under another process's lease.
+    /// The session is covered by the lease of another process.
     Leased = 2,
-    /// The client has confirmed a later epoch than the token's.
+    /// The client has confirmed a later epoch than the one of its token.
     Stale = 3,
-    /// The record was not written under this ballot, or the save is not the next.
+    /// The record was not written under this ballot, or a save is missing before this one.
     Unwritten = 4,
-    /// The keeper has no room for it.
+    /// The replica has no capacity for another record.
     Full = 5,
 }
 
-/// Answers whatever was not taken.
+/// Reply to a call that was refused.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Refused {
-    /// For this session.
+    /// The session.
     #[prost(message, required, tag = "1")]
     pub session: SessionId,
-    /// Under this ballot, as it was asked.
+    /// Ballot of the refused call.
     #[prost(message, required, tag = "2")]
     pub ballot: Ballot,
-    /// Why.
+    /// Reason, a [`Why`].
     #[prost(enumeration = "Why", required, tag = "3")]
     pub why: i32,
-    /// The highest ballot promised.
+    /// The highest promised ballot.
     #[prost(message, required, tag = "4")]
     pub promised: Ballot,
-    /// Its holder, if it has one.
+    /// The holder of the session, if it has one.
     #[prost(message, optional, tag = "5")]
     pub holder: Option<Holder>,
-    /// How long the lease may still run, in milliseconds.
+    /// Maximum remaining time of the lease, in milliseconds.
     #[prost(uint32, required, tag = "6")]
     pub left_ms: u32,
 }
 
-/// Answers a record, a save, a confirmation or a pointer: it is kept.
+/// Reply to a record, a save, a confirmation or a pointer: it is stored.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Stored {
-    /// For this session.
+    /// The session.
     #[prost(message, required, tag = "1")]
     pub session: SessionId,
-    /// Under this ballot.
+    /// Ballot of the call.
     #[prost(message, required, tag = "2")]
     pub ballot: Ballot,
-    /// The number of the last save that is kept.
+    /// Number of the last save stored.
     #[prost(uint64, required, tag = "3")]
     pub upto: u64,
-    /// The number of the configuration that a pointer leads to; 0 if none was written.
+    /// Number of the configuration to which the pointer leads; 0 for replies to other calls.
     #[prost(uint32, required, tag = "4")]
     pub pointer: u32,
-    /// The tag of the record that this answers; 0 if it answers anything else.
+    /// Tag of the record; 0 for replies to other calls.
     #[prost(uint32, required, tag = "5")]
     pub tag: u32,
 }
 
-/// From a form host to a balancer.
+/// A message from a server to a balancer.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Reply {
-    /// What it answers.
+    /// The reply.
     #[prost(oneof = "reply::Body", tags = "1, 2, 3, 4, 5")]
     pub body: Option<reply::Body>,
 }
 
 impl Reply {
-    /// A reply of this.
+    /// Creates a reply with this body.
     #[must_use]
     pub fn new(body: reply::Body) -> Self {
         Self { body: Some(body) }
     }
 }
 
-/// What replies say.
+/// Bodies of replies.
 pub mod reply {
     use super::{LetGo, Oneof, Promised, Refused, Renewed, Stored};
 
-    /// What a reply says.
+    /// Body of a reply.
     #[derive(Clone, PartialEq, Eq, Oneof)]
     pub enum Body {
-        /// The lease runs.
+        /// The lease is in force.
         #[prost(message, tag = "1")]
         Renewed(Renewed),
-        /// The promise is given.
+        /// The claim is promised.
         #[prost(message, tag = "2")]
         Promised(Promised),
-        /// It is kept.
+        /// The call is stored.
         #[prost(message, tag = "3")]
         Stored(Stored),
-        /// It is not taken.
+        /// The call is refused.
         #[prost(message, tag = "4")]
         Refused(Refused),
-        /// The holder has let go, and takes no ballot up to the one asked any more.
+        /// The holder has released the session, and accepts no ballot up to the requested one.
         #[prost(message, tag = "5")]
         LetGo(LetGo),
     }
