--- a/shim/src/lib.rs
+++ b/shim/src/lib.rs
@@ -1,8 +1,8 @@
-//! A library for LD_PRELOAD that makes system calls of the program under test fail by plan.
+//! A library for `LD_PRELOAD` that makes system calls of the program under test fail according to a plan.
 //!
-//! It stands in for functions of the C library. Each looks the call up in the plan, which the
-//! environment gives, and either makes the call as it is, changes it, or fails it without making it.
-//! Every fault that fires is written to the report, so that a test can tell that it did.
+//! It overrides functions of the C library. Each override looks up the call in the plan, which is set by environment
+//! variables, and then makes the call unchanged, makes it with a modification, or fails without making it. Every
+//! injected fault is written to a report, so that a test can verify that it occurred.
 
 mod calls;
 mod plan;
--- a/shim/src/plan.rs
+++ b/shim/src/plan.rs
@@ -1,51 +1,51 @@
-//! Which calls are to fail, and how.
+//! The fault plan: which calls fail, and how.
 //!
-//! `MARLLINK_FAULTS` holds rules that `;` separates, each of the form `CALL=FAULT[@WHERE][#FROM[-TO]][%ONE_IN]`:
+//! `MARLLINK_FAULTS` contains rules separated by `;`, each of the form `CALL=FAULT[@WHERE][#FROM[-TO]][%ONE_IN]`:
 //!
-//! - `CALL` is a function's name, such as `connect` or `recv`.
-//! - `FAULT` is the name of an error (`ENOBUFS`), `SHORT` for one byte at most, or `STEP:MS` for a
-//!   wall clock that is off by so many milliseconds. `END`, `WHOLE`, `TWICE` and `HOLD:MS` are no faults that
-//!   a system has: with them a sound program does what one with a certain bug would do, so that a judge can
-//!   be tested. They read as if the peer had ended, tell that all was written after one byte, write all twice,
-//!   and hold the program up.
-//! - `@WHERE` limits the rule to sockets of which one end has this port, or to files whose path ends so.
-//! - `#FROM-TO` limits it to these calls among those that match, counted from 1; `#FROM-` has no end.
-//! - `%ONE_IN` has it fire at one in so many of them, chosen by `MARLLINK_FAULT_SEED`.
+//! - `CALL` is the name of a function, such as `connect` or `recv`.
+//! - `FAULT` is the name of an error (`ENOBUFS`), `SHORT` to transfer at most one byte, or `STEP:MS` for a wall clock
+//!   that is off by this number of milliseconds. `END`, `WHOLE`, `TWICE` and `HOLD:MS` do not occur on a real system:
+//!   they make a correct program behave like one with a specific bug, to verify that a test harness detects it. `END`
+//!   reports the end of the stream to a read, `WHOLE` writes one byte and reports all as written, `TWICE` writes the
+//!   data twice, and `HOLD:MS` delays the call.
+//! - `@WHERE` limits the rule to sockets with this port at either end, or to files whose path ends with this text.
+//! - `#FROM-TO` limits the rule to this range of the matching calls, counted from 1; `#FROM-` has no upper bound.
+//! - `%ONE_IN` injects the fault into one of this number of calls on average, chosen with `MARLLINK_FAULT_SEED`.
 
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// A way for a call to go wrong.
+/// A fault to inject into a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It fails with this error number.
+    /// The call fails with this error number.
     Error(i32),
-    /// It handles one byte at most.
+    /// The call transfers at most one byte.
     Short,
-    /// The clock is off by so many milliseconds.
+    /// The clock is off by this number of milliseconds.
     Step(i64),
-    /// A read finds the end of the stream.
+    /// A read returns the end of the stream.
     End,
-    /// A write handles one byte and tells that it has handled all.
-    Whole,
-    /// A write is made twice.
+    /// A write transfers one byte and reports all bytes as written.
+    FalseSuccess,
+    /// A write transfers its data twice.
     Twice,
-    /// The program is held up for so many milliseconds before the call.
-    Hold(u32),
+    /// The call is delayed by this number of milliseconds.
+    Delay(u32),
 }
 
-/// A fault and the calls that it is meant for.
+/// A fault and the calls to which it applies.
 pub struct Rule {
     call: String,
-    /// As the plan names it, for the report.
-    pub name: String,
-    /// What is to happen.
+    /// The fault as written in the plan, for the report.
+    pub fault_text: String,
+    /// The fault to inject.
     pub fault: Fault,
-    place: Option<String>,
+    location: Option<String>,
     first: u64,
     last: u64,
     one_in: u64,
-    seen: AtomicU64,
+    match_count: AtomicU64,
 }
 
 impl Rule {
@@ -59,20 +59,20 @@
             Some((rest, range)) => (rest, parse_range(range)?),
             None => (rest, (1, u64::MAX)),
         };
-        let (name, place) = match rest.split_once('@') {
-            Some((name, place)) => (name, Some(place.to_owned())),
+        let (fault_text, location) = match rest.split_once('@') {
+            Some((fault_text, location)) => (fault_text, Some(location.to_owned())),
             None => (rest, None),
         };
-        let fault = parse_fault(name)?;
-        let (call, name) = (call.to_owned(), name.to_owned());
-        Some(Self { call, name, fault, place, first, last, one_in, seen: AtomicU64::new(0) })
+        let fault = parse_fault(fault_text)?;
+        let (call, fault_text) = (call.to_owned(), fault_text.to_owned());
+        Some(Self { call, fault_text, fault, location, first, last, one_in, match_count: AtomicU64::new(0) })
     }
 
-    /// Counts a call that matches and tells whether the fault fires at it.
-    fn fires(&self) -> bool {
-        let nth = self.seen.fetch_add(1, Ordering::Relaxed) + 1;
+    /// Counts a matching call and returns whether the fault applies to it.
+    fn applies_to_next(&self) -> bool {
+        let nth = self.match_count.fetch_add(1, Ordering::Relaxed) + 1;
         let in_range = (self.first..=self.last).contains(&nth);
-        in_range && (self.one_in <= 1 || scramble(nth ^ seed()) % self.one_in == 0)
+        in_range && (self.one_in <= 1 || mix(nth ^ seed()) % self.one_in == 0)
     }
 }
 
@@ -84,17 +84,17 @@
     }
 }
 
-fn parse_fault(name: &str) -> Option<Fault> {
-    if let Some(ms) = name.strip_prefix("STEP:") {
+fn parse_fault(text: &str) -> Option<Fault> {
+    if let Some(ms) = text.strip_prefix("STEP:") {
         return ms.parse().ok().map(Fault::Step);
     }
-    if let Some(ms) = name.strip_prefix("HOLD:") {
-        return ms.parse().ok().map(Fault::Hold);
+    if let Some(ms) = text.strip_prefix("HOLD:") {
+        return ms.parse().ok().map(Fault::Delay);
     }
-    let number = match name {
+    let error_number = match text {
         "SHORT" => return Some(Fault::Short),
         "END" => return Some(Fault::End),
-        "WHOLE" => return Some(Fault::Whole),
+        "WHOLE" => return Some(Fault::FalseSuccess),
         "TWICE" => return Some(Fault::Twice),
         "EADDRINUSE" => libc::EADDRINUSE,
         "EADDRNOTAVAIL" => libc::EADDRNOTAVAIL,
@@ -117,19 +117,19 @@
         "ETIMEDOUT" => libc::ETIMEDOUT,
         _ => return None,
     };
-    Some(Fault::Error(number))
+    Some(Fault::Error(error_number))
 }
 
 fn seed() -> u64 {
     static SEED: OnceLock<u64> = OnceLock::new();
     *SEED.get_or_init(|| {
         let text = std::env::var("MARLLINK_FAULT_SEED").unwrap_or_default();
-        scramble(text.parse().unwrap_or(1))
+        mix(text.parse().unwrap_or(1))
     })
 }
 
-/// The finalizer of SplitMix64: neighbouring numbers give unrelated ones.
-fn scramble(mut x: u64) -> u64 {
+/// The finalizer of SplitMix64, which maps consecutive numbers to unrelated ones.
+fn mix(mut x: u64) -> u64 {
     x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -140,38 +140,45 @@
     static RULES: OnceLock<Vec<Rule>> = OnceLock::new();
     RULES.get_or_init(|| {
         let text = std::env::var("MARLLINK_FAULTS").unwrap_or_default();
-        let parts = text.split(';').filter(|part| !part.is_empty());
-        // A plan that is wrong must not pass for one that never fired.
-        parts.map(|part| Rule::parse(part).unwrap_or_else(|| panic!("not a fault: {part}"))).collect()
+        let rule_texts = text.split(';').filter(|rule_text| !rule_text.is_empty());
+        // Panics on an invalid rule: if it were ignored, a test would take it for a fault that did not occur.
+        rule_texts
+            .map(|rule_text| {
+                Rule::parse(rule_text)
+                    .unwrap_or_else(|| panic!("invalid rule in MARLLINK_FAULTS: {rule_text}"))
+            })
+            .collect()
     })
 }
 
-/// What a call is made for.
+/// The object on which a call operates.
 #[derive(Clone, Debug)]
-pub enum Subject {
-    /// A TCP socket with these ports at its two ends; 0 for an end that it does not have.
+pub enum Target {
+    /// A TCP socket with its local and remote ports; 0 for an end without a port.
     Socket([u16; 2]),
-    /// A file at this path.
+    /// A file with this path.
     File(String),
-    /// Something that no rule names.
+    /// An object that has no location which a rule could name.
     Other,
 }
 
-impl Subject {
-    fn is_at(&self, place: &str) -> bool {
+impl Target {
+    fn is_at(&self, location: &str) -> bool {
         match self {
-            Self::Socket(ports) => ports.iter().any(|port| place.parse() == Ok(*port)),
-            Self::File(path) => path.ends_with(place),
+            Self::Socket(ports) => ports.iter().any(|port| location.parse() == Ok(*port)),
+            Self::File(path) => path.ends_with(location),
             Self::Other => false,
         }
     }
 }
 
-/// The rule that fires at this call, if one does. `subject` gives what the call is made for, or `None`
-/// where it is not meant at all; it is asked only where there is a rule for such calls.
-pub fn fault(call: &str, subject: impl Fn() -> Option<Subject>) -> Option<&'static Rule> {
-    let mut meant = rules().iter().filter(|rule| rule.call == call).peekable();
-    meant.peek()?;
-    let subject = subject()?;
-    meant.find(|rule| rule.place.as_ref().is_none_or(|place| subject.is_at(place)) && rule.fires())
+/// Returns the rule that applies to this call, if there is one. `target` returns the object of the call, or `None` if
+/// the call is exempt from faults; it is evaluated only if the plan has a rule for the function.
+pub fn find_rule(call: &str, target: impl Fn() -> Option<Target>) -> Option<&'static Rule> {
+    let mut candidates = rules().iter().filter(|rule| rule.call == call).peekable();
+    candidates.peek()?;
+    let target = target()?;
+    candidates.find(|rule| {
+        rule.location.as_ref().is_none_or(|location| target.is_at(location)) && rule.applies_to_next()
+    })
 }
--- a/shim/src/report.rs
+++ b/shim/src/report.rs
@@ -1,20 +1,20 @@
-//! Tells which faults have fired: a line each, in the file that `MARLLINK_FAULT_REPORT` names.
+//! Report of injected faults: one line for each, in the file named by `MARLLINK_FAULT_REPORT`.
 
 use crate::plan::Rule;
 use std::ffi::CString;
 use std::sync::OnceLock;
 
-/// Writes that a rule has fired at a call. Uses system calls alone, as the functions of the C
-/// library are the shim's own.
-pub fn fired(call: &str, rule: &Rule) {
+/// Reports that a rule injected a fault into a call. Makes system calls directly, because the C library's functions
+/// are overridden by the shim.
+pub fn record_fault(call: &str, rule: &Rule) {
     static REPORT: OnceLock<i64> = OnceLock::new();
-    let report = *REPORT.get_or_init(open);
-    if report < 0 {
+    let descriptor = *REPORT.get_or_init(open);
+    if descriptor < 0 {
         return;
     }
-    let line = format!("{call} {}\n", rule.name);
+    let line = format!("{call} {}\n", rule.fault_text);
     // SAFETY: the pointer and the length are those of a string that outlives the call.
-    unsafe { libc::syscall(libc::SYS_write, report, line.as_ptr(), line.len()) };
+    unsafe { libc::syscall(libc::SYS_write, descriptor, line.as_ptr(), line.len()) };
 }
 
 fn open() -> i64 {
