--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! The settings a balancer starts with, from their JSON text.
+//! Parses the settings of a balancer from JSON.
 //!
-//! The simulator's first message and a real balancer's configuration hold the same object, so it
-//! is read here, once for both.
+//! The simulator's first message and the configuration file of a deployed balancer contain the same object, so both use
+//! this crate.
 
 mod parts;
 
@@ -13,39 +13,39 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-/// What a key means is told in the wire's own words; keys that are not listed are skipped.
+/// The settings object with the key names of the platform. Unknown keys are ignored.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Boot {
+struct RawSettings {
     index: u16,
     balancers: u16,
     zone: u8,
     #[serde(default)]
     azs: Vec<String>,
     discovery: String,
-    classes: Vec<BootClass>,
+    classes: Vec<RawClass>,
     #[serde(default)]
-    accounts: Vec<Account>,
-    bounds: Bounds,
-    invariants: Invariants,
+    accounts: Vec<RawTenant>,
+    bounds: RawLimits,
+    invariants: RawRules,
     #[serde(default)]
-    load_report: LoadReport,
+    load_report: RawLoadReport,
     #[serde(default)]
-    prices: BootPrices,
+    prices: RawPrices,
     #[serde(default)]
-    specifics: Specifics,
-    #[serde(default = "usual_worth")]
+    specifics: RawExtensions,
+    #[serde(default = "default_over_share_value")]
     over_share_worth: f64,
 }
 
-/// Where nothing is told of it, what is above a share is worth as much as the rest.
-fn usual_worth() -> f64 {
+/// By default, connections above a tenant's share have the same value as the others.
+fn default_over_share_value() -> f64 {
     1.0
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct BootClass {
+struct RawClass {
     name: String,
     goal_time_ms: f64,
     deadline_ms: f64,
@@ -59,14 +59,14 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Account {
+struct RawTenant {
     #[serde(default)]
     name: String,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Bounds {
+struct RawLimits {
     connect_timeout_ms: f64,
     max_attempts: u8,
     #[serde(default)]
@@ -83,7 +83,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Invariants {
+struct RawRules {
     ask_within_ms: f64,
     cold_from: f64,
     warm_after_ms: f64,
@@ -92,7 +92,7 @@
 }
 
 #[derive(Deserialize, Default)]
-struct LoadReport {
+struct RawLoadReport {
     #[serde(default)]
     fields: Vec<String>,
     #[serde(default)]
@@ -101,7 +101,7 @@
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
-struct BootPrices {
+struct RawPrices {
     moves: f64,
     probe: f64,
     cross_zone: f64,
@@ -110,83 +110,83 @@
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
-struct Specifics {
+struct RawExtensions {
     message_aim_ms: Vec<f64>,
     tells_delay: bool,
     groups: bool,
     tenant_quota_connections: Vec<f64>,
 }
 
-/// What the settings say.
+/// The settings of a balancer, parsed and validated.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ParsedSettings {
-    /// What the decisions are made by.
+    /// Settings of the balancing decisions.
     pub balancing: Settings,
-    /// The names behind the numbers that the decisions use.
+    /// Names for the numeric ids that the balancing decisions use.
     pub names: Names,
-    /// Form hosts tell how long messages take there.
+    /// True if servers report how long messages take.
     pub servers_report_delay: bool,
-    /// The longest that a client of any class waits, in ms; 0 where there are no classes.
+    /// Longest deadline of all classes, in milliseconds; 0 if there are no classes.
     pub max_deadline_ms: f64,
 }
 
-/// Names as peers on sockets write them, each list in the order of its ids.
+/// Names as they appear in the socket protocols, each list in the order of its ids.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
-    /// Of the request classes.
+    /// Request classes.
     pub classes: NameTable,
-    /// Of the tenants; may be empty.
+    /// Tenants; may be empty.
     pub tenants: NameTable,
-    /// Of the zones.
+    /// Zones.
     pub zones: Vec<String>,
-    /// Of the values in a load report; empty where servers report nothing.
+    /// Fields of a load report; empty if servers do not report load.
     pub report_fields: Vec<String>,
 }
 
-/// Names by number. A number is never given to another name while the program runs.
+/// Names by id. While the process runs, an id is never assigned to another name.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NameTable {
     names: Vec<String>,
-    /// Those that are no longer in the settings, and that nothing new may bear.
+    /// By id: true if the name is no longer in the settings.
     withdrawn: Vec<bool>,
 }
 
 impl NameTable {
-    /// The number of a name that is in force.
+    /// Returns the id of a name in the current settings.
     #[must_use]
     pub fn id(&self, name: &str) -> Option<u16> {
         let found = self.names.iter().zip(&self.withdrawn).position(|(n, withdrawn)| n == name && !withdrawn);
-        found.map(|at| at as u16)
+        found.map(|index| index as u16)
     }
 
-    /// The number of a name, also of one that is withdrawn.
+    /// Returns the id of a name, even if the name has been withdrawn from the settings.
     #[must_use]
     pub fn id_including_withdrawn(&self, name: &str) -> Option<u16> {
-        self.names.iter().position(|n| n == name).map(|at| at as u16)
+        self.names.iter().position(|n| n == name).map(|index| index as u16)
     }
 
-    /// True if nothing is named.
+    /// Returns true if the table has no names.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
 
-    /// A table and its values that keep the numbers of those before: what is no longer named stays
-    /// in its place, and what is new comes after.
-    fn follow<T: Clone>(self, values: Vec<T>, before: &Self, old: &[T]) -> (Self, Vec<T>) {
-        let (mut table, mut all) = (before.clone(), old.to_vec());
+    /// Merges this table and its values into the previous ones, which keep their ids: names that are no longer present
+    /// keep their entry and are marked as withdrawn, and new names are appended.
+    fn merge_into<T: Clone>(self, values: Vec<T>, previous: &Self, previous_values: &[T]) -> (Self, Vec<T>) {
+        let (mut table, mut merged_values) = (previous.clone(), previous_values.to_vec());
         table.withdrawn.fill(true);
         for (name, value) in self.names.into_iter().zip(values) {
             match table.names.iter().position(|n| *n == name) {
-                Some(at) => (table.withdrawn[at], all[at]) = (false, value),
+                Some(index) => (table.withdrawn[index], merged_values[index]) = (false, value),
                 None => {
                     table.names.push(name);
                     table.withdrawn.push(false);
-                    all.push(value);
+                    merged_values.push(value);
                 }
             }
         }
-        (table, all)
+        (table, merged_values)
     }
 }
 
@@ -198,159 +198,169 @@
 }
 
 impl ParsedSettings {
-    /// These settings in place of those before, while running: classes and tenants keep their
-    /// numbers by name, and what a node is stays as it was at its start.
+    /// Converts these settings for a reload of a running balancer: classes and tenants keep the ids that they have in
+    /// the previous settings, and the identity of the node, its zone and its kind of discovery do not change.
     #[must_use]
-    pub fn as_reload_of(self, before: &Self) -> Self {
-        let (names, old) = (&before.names, &before.balancing);
-        let (classes, class_values) =
-            self.names.classes.follow(self.balancing.classes, &names.classes, &old.classes);
-        let (tenants, tenant_values) =
-            self.names.tenants.follow(self.balancing.tenants, &names.tenants, &old.tenants);
+    pub fn as_reload_of(self, previous: &Self) -> Self {
+        let (previous_names, previous_settings) = (&previous.names, &previous.balancing);
+        let (classes, class_values) = self.names.classes.merge_into(
+            self.balancing.classes,
+            &previous_names.classes,
+            &previous_settings.classes,
+        );
+        let (tenants, tenant_values) = self.names.tenants.merge_into(
+            self.balancing.tenants,
+            &previous_names.tenants,
+            &previous_settings.tenants,
+        );
         Self {
             balancing: Settings {
                 classes: class_values,
                 tenants: tenant_values,
-                node: old.node,
-                zone: old.zone,
-                zones: old.zones,
-                discovery: old.discovery,
+                node: previous_settings.node,
+                zone: previous_settings.zone,
+                zones: previous_settings.zones,
+                discovery: previous_settings.discovery,
                 ..self.balancing
             },
-            names: Names { classes, tenants, zones: names.zones.clone(), ..self.names },
+            names: Names { classes, tenants, zones: previous_names.zones.clone(), ..self.names },
             ..self
         }
     }
 }
 
-/// Checks that `new` has all that `old` has: every key of an object, and in lists of objects every key
-/// that all the old ones share. A default would hide that one is missing.
+/// Checks that `new` contains every key of `old`: every key of an object, and in a list of objects every key that is
+/// common to all old items. Without this check, a default would silently replace a missing key.
 ///
 /// # Errors
-/// Names the first key that is missing.
+/// Returns the first missing key.
 pub fn check_keys_present(old: &Value, new: &Value) -> Result<(), String> {
     match (old, new) {
         (Value::Object(old), Value::Object(new)) => {
             for (key, value) in old {
-                let now = new.get(key).ok_or_else(|| format!("no key \"{key}\""))?;
-                check_keys_present(value, now).map_err(|e| format!("{key}: {e}"))?;
+                let new_value = new.get(key).ok_or_else(|| format!("key \"{key}\" is missing"))?;
+                check_keys_present(value, new_value).map_err(|e| format!("{key}: {e}"))?;
             }
             Ok(())
         }
         (Value::Array(old), Value::Array(new)) => {
             let Some(Value::Object(first)) = old.first() else { return Ok(()) };
-            let shared = first.keys().filter(|key| old.iter().all(|item| item.get(key).is_some()));
-            for key in shared {
+            let common_keys = first.keys().filter(|key| old.iter().all(|item| item.get(key).is_some()));
+            for key in common_keys {
                 if new.iter().any(|item| item.get(key).is_none()) {
-                    return Err(format!("no key \"{key}\""));
+                    return Err(format!("key \"{key}\" is missing"));
                 }
             }
             Ok(())
         }
-        (Value::Object(_), _) => Err("no object".into()),
-        (Value::Array(_), _) => Err("no list".into()),
+        (Value::Object(_), _) => Err("not an object".into()),
+        (Value::Array(_), _) => Err("not a list".into()),
         _ => Ok(()),
     }
 }
 
-/// Reads the settings of one instance from their text.
+/// Parses the settings of one instance from JSON text.
 ///
 /// # Errors
-/// Fails if the text is no JSON, or if a figure that the decisions need is missing or not sound.
+/// Fails if the text is not valid JSON, or if a required value is missing or invalid.
 pub fn parse(text: &[u8]) -> Result<ParsedSettings, String> {
     from_value(serde_json::from_slice(text).map_err(|e| e.to_string())?)
 }
 
-/// Reads the settings of one instance from JSON that has been parsed before.
+/// Converts the settings of one instance from a JSON value.
 ///
 /// # Errors
-/// Fails if a figure that the decisions need is missing or not sound.
+/// Fails if a required value is missing or invalid.
 pub fn from_value(value: Value) -> Result<ParsedSettings, String> {
-    let boot: Boot = serde_json::from_value(value).map_err(|e| e.to_string())?;
-    sound(&boot).map(|()| read(boot))
+    let raw: RawSettings = serde_json::from_value(value).map_err(|e| e.to_string())?;
+    validate(&raw).map(|()| convert(raw))
 }
 
-/// Figures that nothing could be done by, or only harm.
-fn sound(boot: &Boot) -> Result<(), String> {
-    let positive = |name: &str, figure: f64| {
-        if figure > 0.0 && figure.is_finite() { Ok(()) } else { Err(format!("{name} is {figure}")) }
+/// Rejects values with which no request could be served.
+fn validate(raw: &RawSettings) -> Result<(), String> {
+    let require_positive = |name: &str, value: f64| {
+        if value > 0.0 && value.is_finite() {
+            Ok(())
+        } else {
+            Err(format!("{name} is {value}, but must be positive and finite"))
+        }
     };
-    for (at, class) in boot.classes.iter().enumerate() {
-        positive("deadlineMs", class.deadline_ms)?;
-        positive("goalTimeMs", class.goal_time_ms)?;
-        if boot.classes[..at].iter().any(|before| before.name == class.name) {
-            return Err(format!("two classes \"{}\"", class.name));
+    for (index, class) in raw.classes.iter().enumerate() {
+        require_positive("deadlineMs", class.deadline_ms)?;
+        require_positive("goalTimeMs", class.goal_time_ms)?;
+        if raw.classes[..index].iter().any(|other| other.name == class.name) {
+            return Err(format!("duplicate class \"{}\"", class.name));
         }
     }
-    positive("connectTimeoutMs", boot.bounds.connect_timeout_ms)?;
-    positive("maxAttempts", f64::from(boot.bounds.max_attempts))
+    require_positive("connectTimeoutMs", raw.bounds.connect_timeout_ms)?;
+    require_positive("maxAttempts", f64::from(raw.bounds.max_attempts))
 }
 
-fn read(boot: Boot) -> ParsedSettings {
-    let reports = boot.load_report.how != "off";
-    let servers_report_delay = boot.specifics.tells_delay;
-    let aims = &boot.specifics.message_aim_ms;
-    let classes = boot.classes.iter().enumerate().map(|(i, c)| Class {
+fn convert(raw: RawSettings) -> ParsedSettings {
+    let reports_enabled = raw.load_report.how != "off";
+    let servers_report_delay = raw.specifics.tells_delay;
+    let message_goals_ms = &raw.specifics.message_aim_ms;
+    let classes = raw.classes.iter().enumerate().map(|(i, c)| Class {
         aim_ms: c.goal_time_ms,
         effect: effect(c),
         worth: c.importance,
-        message_aim_ms: aims.get(i).copied().unwrap_or(0.0),
+        message_aim_ms: message_goals_ms.get(i).copied().unwrap_or(0.0),
     });
-    let fields = boot.load_report.fields.iter().map(|f| match f.as_str() {
+    let fields = raw.load_report.fields.iter().map(|f| match f.as_str() {
         "rif" => ReportField::InFlight,
         "x0" => ReportField::Utilization,
         "x1" => ReportField::Backlog,
         "fail_rate" => ReportField::ErrorRate,
         _ => ReportField::Other,
     });
-    let max_deadline_ms = boot.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
-    let quotas = &boot.specifics.tenant_quota_connections;
-    let quota = |at| quotas.get(at).copied().filter(|quota: &f64| quota.is_finite() && *quota > 0.0);
-    let tenant = |at| Tenant { quota_connections: quota(at).unwrap_or(0.0) };
+    let max_deadline_ms = raw.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
+    let quotas = &raw.specifics.tenant_quota_connections;
+    let quota = |index| quotas.get(index).copied().filter(|quota: &f64| quota.is_finite() && *quota > 0.0);
+    let tenant = |index| Tenant { quota_connections: quota(index).unwrap_or(0.0) };
     let balancing = Settings {
-        node: NodeId(boot.index),
-        nodes: boot.balancers,
-        zone: ZoneId(boot.zone),
-        zones: boot.azs.len().min(255) as u8,
-        discovery: if boot.discovery == "pushed" { Discovery::Push } else { Discovery::Ask },
+        node: NodeId(raw.index),
+        nodes: raw.balancers,
+        zone: ZoneId(raw.zone),
+        zones: raw.azs.len().min(255) as u8,
+        discovery: if raw.discovery == "pushed" { Discovery::Push } else { Discovery::Ask },
         classes: classes.collect(),
-        tenants: (0..boot.accounts.len()).map(tenant).collect(),
-        over_share_worth: boot.over_share_worth,
-        groups: boot.specifics.groups,
-        report_fields: if reports { fields.collect() } else { Vec::new() },
+        tenants: (0..raw.accounts.len()).map(tenant).collect(),
+        over_share_worth: raw.over_share_worth,
+        groups: raw.specifics.groups,
+        report_fields: if reports_enabled { fields.collect() } else { Vec::new() },
         limits: Limits {
-            connect_timeout_ms: boot.bounds.connect_timeout_ms,
-            max_attempts: boot.bounds.max_attempts,
-            cancel: boot.bounds.may_cancel,
-            probe: boot.bounds.may_probe,
-            peers: boot.bounds.peers,
-            retry_after: boot.bounds.retry_after,
-            max_retry_after_ms: boot.bounds.max_retry_after_ms,
+            connect_timeout_ms: raw.bounds.connect_timeout_ms,
+            max_attempts: raw.bounds.max_attempts,
+            cancel: raw.bounds.may_cancel,
+            probe: raw.bounds.may_probe,
+            peers: raw.bounds.peers,
+            retry_after: raw.bounds.retry_after,
+            max_retry_after_ms: raw.bounds.max_retry_after_ms,
         },
         rules: Rules {
-            ask_within_ms: boot.invariants.ask_within_ms,
-            cold_from: boot.invariants.cold_from,
-            warm_after_ms: boot.invariants.warm_after_ms,
-            tip_multiple: boot.invariants.tip_multiple,
-            overload_for_ms: boot.invariants.overload_for_ms,
+            ask_within_ms: raw.invariants.ask_within_ms,
+            cold_from: raw.invariants.cold_from,
+            warm_after_ms: raw.invariants.warm_after_ms,
+            tip_multiple: raw.invariants.tip_multiple,
+            overload_for_ms: raw.invariants.overload_for_ms,
         },
         prices: Prices {
-            moves: boot.prices.moves,
-            probe: boot.prices.probe,
-            cross_zone: boot.prices.cross_zone,
-            late_fail: boot.prices.late_fail,
+            moves: raw.prices.moves,
+            probe: raw.prices.probe,
+            cross_zone: raw.prices.cross_zone,
+            late_fail: raw.prices.late_fail,
         },
     };
     let names = Names {
-        classes: boot.classes.into_iter().map(|c| c.name).collect(),
-        tenants: boot.accounts.into_iter().map(|a| a.name).collect(),
-        zones: boot.azs,
-        report_fields: if reports { boot.load_report.fields } else { Vec::new() },
+        classes: raw.classes.into_iter().map(|c| c.name).collect(),
+        tenants: raw.accounts.into_iter().map(|a| a.name).collect(),
+        zones: raw.azs,
+        report_fields: if reports_enabled { raw.load_report.fields } else { Vec::new() },
     };
     ParsedSettings { balancing, names, servers_report_delay, max_deadline_ms }
 }
 
-fn effect(class: &BootClass) -> Effect {
+fn effect(class: &RawClass) -> Effect {
     match class.semantics.as_str() {
         "repeatable" => Effect::Safe,
         "by_key" => {
@@ -361,7 +371,7 @@
             };
             Effect::Keyed { scope, window_ms: class.repeat_window_ms }
         }
-        // A word that is not known promises nothing.
+        // Unknown semantics are treated as unsafe to repeat.
         _ => Effect::Unsafe,
     }
 }
@@ -371,7 +381,7 @@
     use super::*;
     use serde_json::json;
 
-    fn settings() -> Value {
+    fn example() -> Value {
         let class = |name: &str, importance: f64| {
             json!({"name": name, "goalTimeMs": 800.0, "deadlineMs": 4800.0, "semantics": "repeatable",
                 "importance": importance})
@@ -384,99 +394,119 @@
     }
 
     #[test]
-    fn classes_keep_their_numbers_and_one_that_vanished_takes_nothing_new() {
-        let first = from_value(settings()).expect("it is sound");
-        let mut next = settings();
+    fn classes_keep_their_ids_across_reloads_and_ids_of_removed_classes_are_not_reused() {
+        let initial = from_value(example()).expect("the settings are valid");
+        let mut next = example();
         next["classes"][0]["name"] = "sign".into();
         next["classes"][0]["semantics"] = "once".into();
         next["classes"][1]["importance"] = 7.0.into();
         next["bounds"]["maxAttempts"] = 2.into();
-        let next = from_value(next).expect("it is sound").as_reload_of(&first);
-        let number =
+        let reloaded = from_value(next).expect("the settings are valid").as_reload_of(&initial);
+        let ids =
             |parsed: &ParsedSettings| ["view", "save", "sign"].map(|name| parsed.names.classes.id(name));
-        assert_eq!(number(&first), [Some(0), Some(1), None]);
-        assert_eq!(number(&next), [None, Some(1), Some(2)]);
-        let worths: Vec<_> = next.balancing.classes.iter().map(|c| c.worth).collect();
-        assert_eq!((worths, next.balancing.limits.max_attempts), (vec![3.0, 7.0, 3.0], 2));
-        assert_eq!(next.balancing.classes[2].effect, Effect::Unsafe);
-        // What has vanished may come back, under its old number.
-        let back = from_value(settings()).expect("it is sound").as_reload_of(&next);
-        assert_eq!(number(&back), [Some(0), Some(1), None]);
+        assert_eq!(ids(&initial), [Some(0), Some(1), None]);
+        assert_eq!(ids(&reloaded), [None, Some(1), Some(2)]);
+        let values: Vec<_> = reloaded.balancing.classes.iter().map(|c| c.worth).collect();
+        assert_eq!((values, reloaded.balancing.limits.max_attempts), (vec![3.0, 7.0, 3.0], 2));
+        assert_eq!(reloaded.balancing.classes[2].effect, Effect::Unsafe);
+        // A class that is added again takes its previous id.
+        let restored = from_value(example()).expect("the settings are valid").as_reload_of(&reloaded);
+        assert_eq!(ids(&restored), [Some(0), Some(1), None]);
     }
 
     #[test]
-    fn each_part_is_on_by_its_own_key_and_says_why_it_is_off() {
-        let on = |value: &Value| {
-            let parts = features(&from_value(value.clone()).expect("it is sound"));
-            assert!(parts.iter().all(|part| !part.reason.is_empty()), "{parts:?}");
-            parts.into_iter().filter(|part| part.enabled).map(|part| part.name).collect::<Vec<_>>()
+    fn each_feature_is_enabled_by_its_own_key_and_gives_a_reason() {
+        let enabled = |value: &Value| {
+            let features = features(&from_value(value.clone()).expect("the settings are valid"));
+            assert!(features.iter().all(|feature| !feature.reason.is_empty()), "{features:?}");
+            features
+                .into_iter()
+                .filter(|feature| feature.enabled)
+                .map(|feature| feature.name)
+                .collect::<Vec<_>>()
         };
-        let plain = settings();
-        let usual = ["list", "bound by the mean", "cold form hosts", "repeated attempts"];
-        assert_eq!(on(&plain), usual);
+        let baseline = example();
+        let default_features = ["list", "bound by the mean", "cold form hosts", "repeated attempts"];
+        assert_eq!(enabled(&baseline), default_features);
         let with = |pointer: &str, value: Value| {
-            let mut all = plain.clone();
-            let (object, key) = pointer.rsplit_once('/').expect("a path");
-            all.pointer_mut(object)
+            let mut changed = baseline.clone();
+            let (object, key) = pointer.rsplit_once('/').expect("the pointer contains a slash");
+            changed
+                .pointer_mut(object)
                 .and_then(Value::as_object_mut)
-                .expect("an object")
+                .expect("the parent is an object")
                 .insert(key.into(), value);
-            let now = on(&all);
-            let gained = now.iter().filter(|name| !usual.contains(name)).copied().collect::<Vec<_>>();
-            let lost = usual.iter().filter(|name| !now.contains(name)).copied().collect::<Vec<_>>();
+            let now_enabled = enabled(&changed);
+            let gained = now_enabled
+                .iter()
+                .filter(|name| !default_features.contains(name))
+                .copied()
+                .collect::<Vec<_>>();
+            let lost = default_features
+                .iter()
+                .filter(|name| !now_enabled.contains(name))
+                .copied()
+                .collect::<Vec<_>>();
             (gained, lost)
         };
         assert_eq!(with("/specifics", json!({"groups": true})), (vec!["groups"], vec![]));
-        let aims = json!({"messageAimMs": [100.0, 60.0]});
-        assert_eq!(with("/specifics", aims), (vec!["slow messages", "slow set-ups"], vec![]));
+        let message_goals = json!({"messageAimMs": [100.0, 60.0]});
+        assert_eq!(with("/specifics", message_goals), (vec!["slow messages", "slow set-ups"], vec![]));
         let quotas = json!({"tenantQuotaConnections": [30.0, 20.0]});
-        assert_eq!(with("/specifics", quotas.clone()), (vec![], vec![]), "no tenant is named");
-        let mut tenants = plain.clone();
+        assert_eq!(with("/specifics", quotas.clone()), (vec![], vec![]), "there are no tenants");
+        let mut tenants = baseline.clone();
         tenants["accounts"] = json!([{"name": "a"}, {"name": "b"}]);
         tenants["specifics"] = quotas;
-        assert!(on(&tenants).contains(&"tenants' shares"));
+        assert!(enabled(&tenants).contains(&"tenants' shares"));
         assert_eq!(with("/prices", json!({"crossZone": 0.1})), (vec!["own zone first"], vec![]));
         assert_eq!(with("/bounds/retryAfter", true.into()), (vec!["advice to come again"], vec![]));
         assert_eq!(with("/bounds/mayCancel", true.into()), (vec!["cancelled attempts"], vec![]));
         assert_eq!(with("/bounds/maxAttempts", 1.into()), (vec![], vec!["repeated attempts"]));
         assert_eq!(with("/invariants/coldFrom", 1.0.into()), (vec![], vec!["cold form hosts"]));
-        assert_eq!(with("/bounds/mayProbe", true.into()), (vec![], vec![]), "probed, and nothing reported");
-        let mut reports = plain.clone();
+        assert_eq!(
+            with("/bounds/mayProbe", true.into()),
+            (vec![], vec![]),
+            "probes are allowed, but servers report no load"
+        );
+        let mut reports = baseline.clone();
         reports["bounds"]["mayProbe"] = true.into();
         reports["loadReport"] = json!({"fields": ["x0"], "how": "probe"});
         assert_eq!(
-            on(&reports),
+            enabled(&reports),
             ["list", "reports", "relief by load", "cold form hosts", "repeated attempts"]
         );
     }
 
     #[test]
-    fn a_file_that_lacks_any_key_or_has_a_figure_that_is_not_sound_is_refused() {
-        fn leaves(value: &Value, at: &str, all: &mut Vec<(String, String)>) {
-            let inner: Vec<_> = match value {
+    fn settings_with_a_missing_key_or_an_invalid_value_are_refused() {
+        fn collect_keys(value: &Value, path: &str, keys: &mut Vec<(String, String)>) {
+            let children: Vec<_> = match value {
                 Value::Object(map) => map.iter().map(|(k, v)| (k.clone(), v)).collect(),
                 Value::Array(list) => list.iter().enumerate().map(|(i, v)| (i.to_string(), v)).collect(),
                 _ => Vec::new(),
             };
-            for (key, value) in inner {
+            for (key, value) in children {
                 if key.parse::<usize>().is_err() {
-                    all.push((at.to_owned(), key.clone()));
+                    keys.push((path.to_owned(), key.clone()));
                 }
-                leaves(value, &format!("{at}/{key}"), all);
+                collect_keys(value, &format!("{path}/{key}"), keys);
             }
         }
-        let whole = settings();
+        let complete = example();
         let mut keys = Vec::new();
-        leaves(&whole, "", &mut keys);
+        collect_keys(&complete, "", &mut keys);
         assert_eq!(keys.len(), 25);
-        for (at, key) in keys {
-            let mut short = whole.clone();
-            let object = short.pointer_mut(&at).and_then(Value::as_object_mut).expect("an object");
+        for (path, key) in keys {
+            let mut incomplete = complete.clone();
+            let object = incomplete
+                .pointer_mut(&path)
+                .and_then(Value::as_object_mut)
+                .expect("the parent is an object");
             object.remove(&key);
-            assert!(check_keys_present(&whole, &short).is_err(), "{at}/{key}");
+            assert!(check_keys_present(&complete, &incomplete).is_err(), "{path}/{key}");
         }
-        assert_eq!(check_keys_present(&whole, &whole), Ok(()));
-        let wrong = [
+        assert_eq!(check_keys_present(&complete, &complete), Ok(()));
+        let invalid_values = [
             ("/classes/1/deadlineMs", json!(0)),
             ("/classes/1/deadlineMs", json!(-3.5)),
             ("/classes/0/goalTimeMs", json!(0.0)),
@@ -485,10 +515,10 @@
             ("/bounds/maxAttempts", json!(-1)),
             ("/bounds/connectTimeoutMs", json!(0)),
         ];
-        for (at, value) in wrong {
-            let mut bad = whole.clone();
-            *bad.pointer_mut(at).expect("it is there") = value;
-            assert!(from_value(bad).is_err(), "{at}");
+        for (path, value) in invalid_values {
+            let mut invalid = complete.clone();
+            *invalid.pointer_mut(path).expect("the key exists") = value;
+            assert!(from_value(invalid).is_err(), "{path}");
         }
     }
 }
--- a/settings/src/parts.rs
+++ b/settings/src/parts.rs
@@ -1,171 +1,186 @@
-//! Which parts of the decisions are in force under some settings, and which are off and why.
+//! Features of the balancing decisions: which are enabled under the given settings, and why the others are not.
 
 use crate::ParsedSettings;
 use marllink::{Discovery, Effect, Settings};
 use serde::Serialize;
 
-/// A part of the decisions.
+/// A feature of the balancing decisions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Feature {
-    /// Its name, the same from one version to the next.
+    /// Name of the feature. It is stable across versions.
     pub name: &'static str,
-    /// It is in force.
+    /// True if the feature is enabled.
     #[serde(rename = "on")]
     pub enabled: bool,
-    /// With what figures, or why not; in words.
+    /// Description of the effective values, or of why the feature is disabled.
     #[serde(rename = "why")]
     pub reason: String,
 }
 
-fn part(name: &'static str, on: bool, yes: impl Into<String>, no: impl Into<String>) -> Feature {
-    Feature { name, enabled: on, reason: if on { yes.into() } else { no.into() } }
+fn feature(
+    name: &'static str,
+    enabled: bool,
+    when_enabled: impl Into<String>,
+    when_disabled: impl Into<String>,
+) -> Feature {
+    Feature { name, enabled, reason: if enabled { when_enabled.into() } else { when_disabled.into() } }
 }
 
-/// The parts, in the order in which a request meets them.
+/// Returns all features, in the order in which they apply to a request.
 #[must_use]
 pub fn features(parsed: &ParsedSettings) -> Vec<Feature> {
     let settings = &parsed.balancing;
-    let mut all = vec![list(settings)];
-    all.extend(knowing(parsed));
-    all.extend(placing(settings));
-    all.extend(admitting(parsed));
-    all.extend(again(settings));
-    all
+    let mut features = vec![server_list(settings)];
+    features.extend(load_observation(parsed));
+    features.extend(placement(settings));
+    features.extend(admission(parsed));
+    features.extend(retries(settings));
+    features
 }
 
-fn list(settings: &Settings) -> Feature {
-    let why = match settings.discovery {
-        Discovery::Push => "pushed: the watch is opened unasked and kept open".into(),
+fn server_list(settings: &Settings) -> Feature {
+    let reason = match settings.discovery {
+        Discovery::Push => "pushed: discovery sends changes over a watch that stays open".into(),
         Discovery::Ask => format!(
-            "asked: the first call within {:.0} ms, again with growing pauses",
+            "polled: the first fetch within {:.0} ms, retried with increasing delays",
             settings.rules.ask_within_ms / 4.0
         ),
     };
-    Feature { name: "list", enabled: true, reason: why }
+    Feature { name: "list", enabled: true, reason }
 }
 
-/// What is known of form hosts.
-fn knowing(parsed: &ParsedSettings) -> Vec<Feature> {
+/// How the load of servers is observed.
+fn load_observation(parsed: &ParsedSettings) -> Vec<Feature> {
     let settings = &parsed.balancing;
-    let reports = settings.reports_load();
-    let no_reports = match settings.limits.probe {
+    let has_reports = settings.reports_load();
+    let no_reports_reason = match settings.limits.probe {
         false => "probes are not allowed",
-        true => "reports hold no load over what a form host can do (x0)",
+        true => "load reports contain no utilization (x0)",
     };
-    let aim = settings.slow_aim();
-    let no_aim = "no class has an aim for messages (messageAimMs)";
+    let message_goal_ms = settings.slow_aim();
+    let no_goal_reason = "no class has a latency goal for messages (messageAimMs)";
     let source = match parsed.servers_report_delay {
-        true => "told by form hosts, or measured by lines and their answers",
-        false => "measured by lines and their answers",
+        true => "reported by servers, or measured from lines and their replies",
+        false => "measured from lines and their replies",
     };
     vec![
-        part("reports", reports, "form hosts are asked for their load when a pick is due", no_reports),
-        part("relief by load", reports, "clients leave form hosts that report too much", no_reports),
-        part(
+        feature("reports", has_reports, "servers are probed for their load before a pick", no_reports_reason),
+        feature(
+            "relief by load",
+            has_reports,
+            "clients are moved away from servers that report overload",
+            no_reports_reason,
+        ),
+        feature(
             "slow messages",
-            aim.is_finite(),
-            format!("{source}; over {:.0} ms some clients leave", aim),
-            no_aim,
+            message_goal_ms.is_finite(),
+            format!("{source}; above {:.0} ms some clients are moved to other servers", message_goal_ms),
+            no_goal_reason,
         ),
-        part(
+        feature(
             "slow set-ups",
-            !reports && aim.is_finite(),
-            format!("one that takes over {aim:.0} ms closes its form host for a while"),
-            if reports { "reports say more" } else { no_aim },
+            !has_reports && message_goal_ms.is_finite(),
+            format!(
+                "a setup that takes longer than {message_goal_ms:.0} ms excludes its server from picks for a while"
+            ),
+            if has_reports { "load reports are more precise" } else { no_goal_reason },
         ),
     ]
 }
 
-/// Where a connection goes.
-fn placing(settings: &Settings) -> Vec<Feature> {
-    let (zones, price) = (settings.zones, settings.prices.cross_zone);
+/// How a server is selected for a connection.
+fn placement(settings: &Settings) -> Vec<Feature> {
+    let (zones, crossing_price) = (settings.zones, settings.prices.cross_zone);
     let rules = &settings.rules;
     vec![
-        part(
+        feature(
             "own zone first",
-            price > 0.0 && zones > 1,
-            format!("crossing costs {price}, over {zones} zones"),
-            if zones > 1 { "crossing zones has no price" } else { "there is one zone" },
+            crossing_price > 0.0 && zones > 1,
+            format!("crossing costs {crossing_price}, among {zones} zones"),
+            if zones > 1 { "crossing zones has no price" } else { "there is only one zone" },
         ),
-        part(
+        feature(
             "groups",
             settings.groups,
-            "a group goes to as many form hosts as its share of all connections",
-            "connections share no work",
+            "a group is spread over a fraction of the servers that equals its share of all connections",
+            "connections of a group share no work",
         ),
-        part(
+        feature(
             "bound by the mean",
             !settings.reports_load(),
-            "no form host takes more than twice the mean own count",
-            "reports say more",
+            "no server gets more than twice the mean number of this balancer's connections",
+            "load reports are more precise",
         ),
-        part(
+        feature(
             "cold form hosts",
             rules.warm_after_ms > 0.0 && rules.cold_from < 1.0,
             format!(
-                "from {} of what they can do, warm after {:.0} s, never {} times that for {:.0} s by all",
+                "from {} of a server's capacity to all of it after {:.0} s, and never {} times its \
+                 current capacity for {:.0} s over all balancers",
                 rules.cold_from,
                 rules.warm_after_ms / 1_000.0,
                 rules.tip_multiple,
                 rules.overload_for_ms / 1_000.0
             ),
-            "form hosts start warm",
+            "servers start at full capacity",
         ),
     ]
 }
 
-/// Who is turned away.
-fn admitting(parsed: &ParsedSettings) -> Vec<Feature> {
+/// Which requests are rejected.
+fn admission(parsed: &ParsedSettings) -> Vec<Feature> {
     let settings = &parsed.balancing;
-    let shares = settings.tenants.iter().filter(|t| t.quota_connections > 0.0).count();
-    let told: f64 = settings.tenants.iter().map(|t| t.quota_connections).sum();
+    let tenants_with_share = settings.tenants.iter().filter(|t| t.quota_connections > 0.0).count();
+    let total_connections: f64 = settings.tenants.iter().map(|t| t.quota_connections).sum();
     let limits = &settings.limits;
     vec![
-        part(
+        feature(
             "tenants' shares",
-            shares > 1,
+            tenants_with_share > 1,
             format!(
-                "{shares} tenants share {told:.0} connections; above its share a tenant yields while form hosts \
-                 are strained, as its connections are worth {} there",
+                "{tenants_with_share} tenants share {total_connections:.0} connections; while servers are \
+                 overloaded, a tenant above its share yields to others, and its connections have {} times \
+                 their usual value",
                 settings.over_share_worth
             ),
-            if shares == 1 { "one tenant alone has a share" } else { "no tenant has one" },
+            if tenants_with_share == 1 { "only one tenant has a share" } else { "no tenant has a share" },
         ),
-        part(
+        feature(
             "advice to come again",
             limits.retry_after,
             format!("BUSY MS, {:.0} ms at most", limits.max_retry_after_ms),
-            "the settings allow none (retryAfter)",
+            "not allowed by the settings (retryAfter)",
         ),
     ]
 }
 
-/// What follows an attempt that failed.
-fn again(settings: &Settings) -> Vec<Feature> {
+/// What happens after a failed attempt.
+fn retries(settings: &Settings) -> Vec<Feature> {
     let attempts = settings.limits.max_attempts;
-    let once = settings.classes.iter().filter(|c| c.effect == Effect::Unsafe).count();
+    let unsafe_classes = settings.classes.iter().filter(|c| c.effect == Effect::Unsafe).count();
     let classes = settings.classes.len();
     vec![
-        part(
+        feature(
             "repeated attempts",
-            attempts > 1 && once < classes,
+            attempts > 1 && unsafe_classes < classes,
             format!(
-                "{attempts} at most for a request, one at a time; {} of {classes} classes may be repeated",
-                classes - once
+                "at most {attempts} attempts for each request, one at a time; {} of {classes} classes allow \
+                 retries",
+                classes - unsafe_classes
             ),
-            if attempts > 1 { "no class may run twice" } else { "one attempt is allowed" },
+            if attempts > 1 { "no class allows retries" } else { "only one attempt is allowed" },
         ),
-        part(
+        feature(
             "cancelled attempts",
             settings.limits.cancel,
-            "where the client has left",
-            "the settings allow none (mayCancel)",
+            "after the client has disconnected",
+            "not allowed by the settings (mayCancel)",
         ),
-        part(
+        feature(
             "talk between balancers",
             false,
             "",
-            if settings.limits.peers { "allowed, and not used" } else { "not allowed" },
+            if settings.limits.peers { "allowed, but not used" } else { "not allowed" },
         ),
     ]
 }
