--- a/lease-protocol/src/messages.rs
+++ b/lease-protocol/src/messages.rs
@@ -27,7 +27,7 @@
     /// Number of the claim, counted over the lifetime of the session.
     #[prost(uint64, required, tag = "1")]
     pub epoch: u64,
-    /// Number of the server at which this claim attempts to place the session; 0 for the claim itself.
+    /// Number of the placement attempt under this claim, counted from 1; 0 for the claim itself.
     #[prost(uint32, required, tag = "2")]
     pub attempt: u32,
 }
