--- a/node/src/membership/discovery.rs
+++ b/node/src/membership/discovery.rs
@@ -8,7 +8,7 @@
 //! is opened here at the start, and again whenever it ends.
 
 use crate::core::{Core, Membership};
-use crate::exchange::resume::Resume;
+use crate::exchange::session_driver::SessionDriver;
 use crate::io::clock::{Clock, Millis};
 use crate::io::connect::connect;
 use crate::io::pump;
@@ -16,7 +16,9 @@
 use crate::protocol::discovery::{self as syntax, List, Said, Target};
 use crate::protocol::http::{self, Read};
 use marllink::{Event, ListKind, ServerId};
-use marllink_rate_limits::calls::{ANSWER_MS, BUSY_MS, CONNECT_MS, SILENT_MS};
+use marllink_rate_limits::discovery_calls::{
+    CONNECT_TIMEOUT_MS, OVERLOADED_RESPONSE_TIMEOUT_MS, RESPONSE_TIMEOUT_MS, WATCH_TIMEOUT_MS,
+};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -54,7 +56,7 @@
     fetch: RefCell<Option<AbortHandle>>,
     watch: RefCell<Option<AbortHandle>>,
     /// Who else must know of form hosts, if anybody.
-    resume: RefCell<Option<Rc<Resume>>>,
+    resume: RefCell<Option<Rc<SessionDriver>>>,
     /// Who keeps the list through a restart, if anybody; and when the service was last heard of.
     keeper: RefCell<Option<Rc<dyn Keeper>>>,
     heard_at: Cell<Millis>,
@@ -93,7 +95,7 @@
     }
 
     /// Tells sessions of form hosts as well. To be called before the first list.
-    pub fn tell_sessions(&self, resume: Rc<Resume>) {
+    pub fn tell_sessions(&self, resume: Rc<SessionDriver>) {
         self.resume.replace(Some(resume));
     }
 
@@ -193,7 +195,7 @@
         }
         if let Some(resume) = self.resume.borrow().as_ref() {
             let listed = self.targets.borrow().values().map(|t| t.listed(&self.zones)).collect();
-            resume.listed(listed);
+            resume.servers_changed(listed);
         }
         let told = list.targets.iter().filter(|t| !left_out(t));
         let entries = told.map(|t| t.entry(&self.clock, &self.zones)).collect();
@@ -216,11 +218,11 @@
     /// Tells why there is none: the service can't be reached, refuses it, breaks, or does not answer in time.
     async fn call(&self, path: &str) -> Result<Body, String> {
         let host = self.address.get();
-        let stream = connect(&self.clock, host, CONNECT_MS).await.map_err(|e| e.to_string())?;
+        let stream = connect(&self.clock, host, CONNECT_TIMEOUT_MS).await.map_err(|e| e.to_string())?;
         let patience = match (self.pushed, self.busy.replace(true)) {
             (true, _) => PUSHED_ANSWER_MS,
-            (false, false) => ANSWER_MS,
-            (false, true) => BUSY_MS,
+            (false, false) => RESPONSE_TIMEOUT_MS,
+            (false, true) => OVERLOADED_RESPONSE_TIMEOUT_MS,
         };
         let body = self.clock.within(patience, begin(stream, host, path)).await.ok_or("no answer")??;
         self.busy.set(false);
@@ -231,7 +233,7 @@
     async fn fetch_list(&self) -> Result<(), String> {
         let before = self.rev.get();
         let mut body = self.call("/catalog/members").await?;
-        let whole = self.clock.within(ANSWER_MS, body.read_all()).await;
+        let whole = self.clock.within(RESPONSE_TIMEOUT_MS, body.read_all()).await;
         whole.unwrap_or_else(|| Err("no end of the list".into()))?;
         let list = syntax::list(&body.text).ok_or("no list")?;
         // The watch may have brought later changes while this was under way.
@@ -260,7 +262,7 @@
                 (since, under_way) = (self.clock.now(), true);
             }
             body.unread = body.text.len();
-            let more = self.clock.within(since + SILENT_MS - self.clock.now(), body.read_some()).await;
+            let more = self.clock.within(since + WATCH_TIMEOUT_MS - self.clock.now(), body.read_some()).await;
             if !more.ok_or("silence")?? {
                 return Err("the watch ended".into());
             }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -8,7 +8,8 @@
 pub use parts::{Feature, features};
 
 use marllink::{
-    Class, Discovery, Effect, KeyScope, Limits, NodeId, Prices, ReportField, Rules, Settings, Tenant, ZoneId,
+    Class, DedupScope, Discovery, Idempotency, Limits, NodeId, Prices, ReportField, Rules, Settings, Tenant,
+    ZoneId,
 };
 use serde::Deserialize;
 use serde_json::Value;
@@ -17,11 +18,16 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct RawSettings {
+    /// Number of this balancer.
     index: u16,
+    /// Number of balancers in the fleet.
     balancers: u16,
+    /// Zone of this balancer, as an index into `azs`.
     zone: u8,
+    /// Names of the zones.
     #[serde(default)]
     azs: Vec<String>,
+    /// `pushed` if discovery sends changes of the server list; with any other value the balancer fetches the list.
     discovery: String,
     classes: Vec<RawClass>,
     #[serde(default)]
@@ -34,12 +40,13 @@
     prices: RawPrices,
     #[serde(default)]
     specifics: RawExtensions,
-    #[serde(default = "default_over_share_value")]
+    /// Value of a connection of a tenant above its quota, relative to its usual value.
+    #[serde(default = "default_over_quota_value")]
     over_share_worth: f64,
 }
 
-/// By default, connections above a tenant's share have the same value as the others.
-fn default_over_share_value() -> f64 {
+/// By default, connections above a tenant's quota have the same value as the others.
+fn default_over_quota_value() -> f64 {
     1.0
 }
 
@@ -84,17 +91,24 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct RawRules {
+    /// Time limit for the first fetch of the server list, if discovery does not push it.
     ask_within_ms: f64,
+    /// Share of its capacity that a server has when it starts.
     cold_from: f64,
+    /// Time until a started server has its full capacity.
     warm_after_ms: f64,
+    /// Load relative to its current capacity above which a server in slow start collapses.
     tip_multiple: f64,
+    /// Duration of such a load until the server collapses.
     overload_for_ms: f64,
 }
 
 #[derive(Deserialize, Default)]
 struct RawLoadReport {
+    /// Names of the values in a report, in order.
     #[serde(default)]
     fields: Vec<String>,
+    /// How reports are obtained; `off` if servers do not report load.
     #[serde(default)]
     how: String,
 }
@@ -111,9 +125,13 @@
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 struct RawExtensions {
+    /// Latency goal for messages on an open connection, by class; 0 for none.
     message_aim_ms: Vec<f64>,
+    /// True if servers report how long messages take.
     tells_delay: bool,
+    /// True if connections of one group share work on the server that holds them.
     groups: bool,
+    /// Quota of open connections over all balancers, by tenant; 0 for none.
     tenant_quota_connections: Vec<f64>,
 }
 
@@ -301,10 +319,10 @@
     let servers_report_delay = raw.specifics.tells_delay;
     let message_goals_ms = &raw.specifics.message_aim_ms;
     let classes = raw.classes.iter().enumerate().map(|(i, c)| Class {
-        aim_ms: c.goal_time_ms,
-        effect: effect(c),
-        worth: c.importance,
-        message_aim_ms: message_goals_ms.get(i).copied().unwrap_or(0.0),
+        setup_goal_ms: c.goal_time_ms,
+        idempotency: idempotency(c),
+        value: c.importance,
+        message_goal_ms: message_goals_ms.get(i).copied().unwrap_or(0.0),
     });
     let fields = raw.load_report.fields.iter().map(|f| match f.as_str() {
         "rif" => ReportField::InFlight,
@@ -322,11 +340,11 @@
         nodes: raw.balancers,
         zone: ZoneId(raw.zone),
         zones: raw.azs.len().min(255) as u8,
-        discovery: if raw.discovery == "pushed" { Discovery::Push } else { Discovery::Ask },
+        discovery: if raw.discovery == "pushed" { Discovery::Push } else { Discovery::Pull },
         classes: classes.collect(),
         tenants: (0..raw.accounts.len()).map(tenant).collect(),
-        over_share_worth: raw.over_share_worth,
-        groups: raw.specifics.groups,
+        over_quota_value_ratio: raw.over_share_worth,
+        group_affinity: raw.specifics.groups,
         report_fields: if reports_enabled { fields.collect() } else { Vec::new() },
         limits: Limits {
             connect_timeout_ms: raw.bounds.connect_timeout_ms,
@@ -338,17 +356,17 @@
             max_retry_after_ms: raw.bounds.max_retry_after_ms,
         },
         rules: Rules {
-            ask_within_ms: raw.invariants.ask_within_ms,
-            cold_from: raw.invariants.cold_from,
-            warm_after_ms: raw.invariants.warm_after_ms,
-            tip_multiple: raw.invariants.tip_multiple,
-            overload_for_ms: raw.invariants.overload_for_ms,
+            fetch_within_ms: raw.invariants.ask_within_ms,
+            initial_capacity_ratio: raw.invariants.cold_from,
+            warm_up_ms: raw.invariants.warm_after_ms,
+            collapse_load_ratio: raw.invariants.tip_multiple,
+            collapse_after_ms: raw.invariants.overload_for_ms,
         },
         prices: Prices {
             moves: raw.prices.moves,
             probe: raw.prices.probe,
             cross_zone: raw.prices.cross_zone,
-            late_fail: raw.prices.late_fail,
+            late_failure: raw.prices.late_fail,
         },
     };
     let names = Names {
@@ -360,19 +378,19 @@
     ParsedSettings { balancing, names, servers_report_delay, max_deadline_ms }
 }
 
-fn effect(class: &RawClass) -> Effect {
+fn idempotency(class: &RawClass) -> Idempotency {
     match class.semantics.as_str() {
-        "repeatable" => Effect::Safe,
+        "repeatable" => Idempotency::Safe,
         "by_key" => {
             let scope = match class.dedup_scope.as_str() {
-                "all" => KeyScope::All,
-                "zone" => KeyScope::Zone,
-                _ => KeyScope::Cell,
+                "all" => DedupScope::All,
+                "zone" => DedupScope::Zone,
+                _ => DedupScope::Cell,
             };
-            Effect::Keyed { scope, window_ms: class.repeat_window_ms }
+            Idempotency::Keyed { scope, window_ms: class.repeat_window_ms }
         }
         // Unknown semantics are treated as unsafe to repeat.
-        _ => Effect::Unsafe,
+        _ => Idempotency::Unsafe,
     }
 }
 
@@ -406,9 +424,9 @@
             |parsed: &ParsedSettings| ["view", "save", "sign"].map(|name| parsed.names.classes.id(name));
         assert_eq!(ids(&initial), [Some(0), Some(1), None]);
         assert_eq!(ids(&reloaded), [None, Some(1), Some(2)]);
-        let values: Vec<_> = reloaded.balancing.classes.iter().map(|c| c.worth).collect();
+        let values: Vec<_> = reloaded.balancing.classes.iter().map(|c| c.value).collect();
         assert_eq!((values, reloaded.balancing.limits.max_attempts), (vec![3.0, 7.0, 3.0], 2));
-        assert_eq!(reloaded.balancing.classes[2].effect, Effect::Unsafe);
+        assert_eq!(reloaded.balancing.classes[2].idempotency, Idempotency::Unsafe);
         // A class that is added again takes its previous id.
         let restored = from_value(example()).expect("the settings are valid").as_reload_of(&reloaded);
         assert_eq!(ids(&restored), [Some(0), Some(1), None]);
--- a/settings/src/parts.rs
+++ b/settings/src/parts.rs
@@ -1,7 +1,7 @@
 //! Features of the balancing decisions: which are enabled under the given settings, and why the others are not.
 
 use crate::ParsedSettings;
-use marllink::{Discovery, Effect, Settings};
+use marllink::{Discovery, Idempotency, Settings};
 use serde::Serialize;
 
 /// A feature of the balancing decisions.
@@ -41,9 +41,9 @@
 fn server_list(settings: &Settings) -> Feature {
     let reason = match settings.discovery {
         Discovery::Push => "pushed: discovery sends changes over a watch that stays open".into(),
-        Discovery::Ask => format!(
+        Discovery::Pull => format!(
             "polled: the first fetch within {:.0} ms, retried with increasing delays",
-            settings.rules.ask_within_ms / 4.0
+            settings.rules.fetch_within_ms / 4.0
         ),
     };
     Feature { name: "list", enabled: true, reason }
@@ -57,7 +57,7 @@
         false => "probes are not allowed",
         true => "load reports contain no utilization (x0)",
     };
-    let message_goal_ms = settings.slow_aim();
+    let message_goal_ms = settings.strictest_message_goal();
     let no_goal_reason = "no class has a latency goal for messages (messageAimMs)";
     let source = match parsed.servers_report_delay {
         true => "reported by servers, or measured from lines and their replies",
@@ -101,7 +101,7 @@
         ),
         feature(
             "groups",
-            settings.groups,
+            settings.group_affinity,
             "a group is spread over a fraction of the servers that equals its share of all connections",
             "connections of a group share no work",
         ),
@@ -113,14 +113,14 @@
         ),
         feature(
             "cold form hosts",
-            rules.warm_after_ms > 0.0 && rules.cold_from < 1.0,
+            rules.warm_up_ms > 0.0 && rules.initial_capacity_ratio < 1.0,
             format!(
                 "from {} of a server's capacity to all of it after {:.0} s, and never {} times its \
                  current capacity for {:.0} s over all balancers",
-                rules.cold_from,
-                rules.warm_after_ms / 1_000.0,
-                rules.tip_multiple,
-                rules.overload_for_ms / 1_000.0
+                rules.initial_capacity_ratio,
+                rules.warm_up_ms / 1_000.0,
+                rules.collapse_load_ratio,
+                rules.collapse_after_ms / 1_000.0
             ),
             "servers start at full capacity",
         ),
@@ -130,20 +130,20 @@
 /// Which requests are rejected.
 fn admission(parsed: &ParsedSettings) -> Vec<Feature> {
     let settings = &parsed.balancing;
-    let tenants_with_share = settings.tenants.iter().filter(|t| t.quota_connections > 0.0).count();
+    let tenants_with_quota = settings.tenants.iter().filter(|t| t.quota_connections > 0.0).count();
     let total_connections: f64 = settings.tenants.iter().map(|t| t.quota_connections).sum();
     let limits = &settings.limits;
     vec![
         feature(
             "tenants' shares",
-            tenants_with_share > 1,
+            tenants_with_quota > 1,
             format!(
-                "{tenants_with_share} tenants share {total_connections:.0} connections; while servers are \
-                 overloaded, a tenant above its share yields to others, and its connections have {} times \
-                 their usual value",
-                settings.over_share_worth
+                "{tenants_with_quota} tenants have quotas of {total_connections:.0} connections in total; while \
+                 servers are overloaded, a tenant above its quota yields to others, and its connections have {} \
+                 times their usual value",
+                settings.over_quota_value_ratio
             ),
-            if tenants_with_share == 1 { "only one tenant has a share" } else { "no tenant has a share" },
+            if tenants_with_quota == 1 { "only one tenant has a quota" } else { "no tenant has a quota" },
         ),
         feature(
             "advice to come again",
@@ -157,7 +157,7 @@
 /// What happens after a failed attempt.
 fn retries(settings: &Settings) -> Vec<Feature> {
     let attempts = settings.limits.max_attempts;
-    let unsafe_classes = settings.classes.iter().filter(|c| c.effect == Effect::Unsafe).count();
+    let unsafe_classes = settings.classes.iter().filter(|c| c.idempotency == Idempotency::Unsafe).count();
     let classes = settings.classes.len();
     vec![
         feature(
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -15,7 +15,7 @@
 /// What a request has been through, as the rules see it.
 #[derive(Debug)]
 struct Seen {
-    effect: Effect,
+    effect: Idempotency,
     deadline: Millis,
     /// The attempt out: its number, server, end by time-out, and when it was sent.
     out: Option<(u8, ServerId, Millis, Millis)>,
@@ -35,9 +35,15 @@
     now_due: bool,
 }
 
-fn effects() -> Vec<Effect> {
-    let keyed = |scope| Effect::Keyed { scope, window_ms: WINDOW };
-    vec![Effect::Safe, keyed(KeyScope::All), keyed(KeyScope::Zone), keyed(KeyScope::Cell), Effect::Unsafe]
+fn effects() -> Vec<Idempotency> {
+    let keyed = |scope| Idempotency::Keyed { scope, window_ms: WINDOW };
+    vec![
+        Idempotency::Safe,
+        keyed(DedupScope::All),
+        keyed(DedupScope::Zone),
+        keyed(DedupScope::Cell),
+        Idempotency::Unsafe,
+    ]
 }
 
 fn host(id: u64, state: ServerState, started_at: Millis) -> ServerEntry {
@@ -55,10 +61,15 @@
     fn new() -> Self {
         let mut settings = settings();
         settings.nodes = 3;
-        settings.discovery = Discovery::Ask;
+        settings.discovery = Discovery::Pull;
         // Aims long enough for some requests to be held.
         settings.classes = (effects().into_iter().zip([300.0, 500.0, 600.0, 700.0, 800.0]))
-            .map(|(effect, aim_ms)| Class { aim_ms, effect, message_aim_ms: 50.0, ..Class::default() })
+            .map(|(effect, aim_ms)| Class {
+                setup_goal_ms: aim_ms,
+                idempotency: effect,
+                message_goal_ms: 50.0,
+                ..Class::default()
+            })
             .collect();
         let list: Vec<_> = (1..=12).map(|id| host(id, ServerState::Ready, 0.0)).collect();
         let listed = list.iter().map(|e| (e.server, e.clone())).collect();
@@ -85,14 +96,14 @@
                         let (a, b) = (entry, &self.listed[&first]);
                         assert!(
                             match seen.effect {
-                                Effect::Safe => true,
-                                Effect::Unsafe => false,
-                                Effect::Keyed { scope, window_ms } =>
+                                Idempotency::Safe => true,
+                                Idempotency::Unsafe => false,
+                                Idempotency::Keyed { scope, window_ms } =>
                                     now - at < window_ms
                                         && match scope {
-                                            KeyScope::All => true,
-                                            KeyScope::Zone => a.zone == b.zone,
-                                            KeyScope::Cell => a.cell == b.cell,
+                                            DedupScope::All => true,
+                                            DedupScope::Zone => a.zone == b.zone,
+                                            DedupScope::Cell => a.cell == b.cell,
                                         },
                             },
                             "an effect may happen twice: {seen:?}"
@@ -102,11 +113,13 @@
                     seen.out = Some((seen.attempts, server, end, now));
                     seen.attempts += 1;
                 }
-                Action::Refuse { request, .. } => {
+                Action::Reject { request, .. } => {
                     let seen = self.requests.get_mut(&request).expect("a request that was given");
                     let unharmed = match seen.effect {
-                        Effect::Safe | Effect::Keyed { scope: KeyScope::All, .. } => true,
-                        Effect::Keyed { .. } | Effect::Unsafe => seen.ran.is_none() && seen.out.is_none(),
+                        Idempotency::Safe | Idempotency::Keyed { scope: DedupScope::All, .. } => true,
+                        Idempotency::Keyed { .. } | Idempotency::Unsafe => {
+                            seen.ran.is_none() && seen.out.is_none()
+                        }
                     };
                     let waited = seen.out.is_none() || self.now_due;
                     assert!(unharmed && waited, "a refusal invites a repeat: {seen:?}");
@@ -318,10 +331,10 @@
     ) {
         let mut settings = settings();
         settings.rules = Rules {
-            cold_from: 0.13,
-            warm_after_ms: 20_000.0,
-            tip_multiple: 3.0,
-            overload_for_ms: 3_000.0,
+            initial_capacity_ratio: 0.13,
+            warm_up_ms: 20_000.0,
+            collapse_load_ratio: 3.0,
+            collapse_after_ms: 3_000.0,
             ..Rules::default()
         };
         let rules = settings.rules.clone();
@@ -358,11 +371,11 @@
         // What the others carry for each server, full for a server of its size at most.
         let fair = f64::from(per_second) / 1_000.0 / servers as f64;
         for (i, from) in cold_sends.iter().enumerate() {
-            let end = from + rules.overload_for_ms;
+            let end = from + rules.collapse_after_ms;
             let sends = cold_sends[i..].iter().take_while(|at| **at < end).count() as f64;
-            let warmth = ((from - born) / rules.warm_after_ms).min(1.0);
-            let capacity = rules.cold_from + (1.0 - rules.cold_from) * warmth;
-            let tips = rules.tip_multiple * capacity * fair * rules.overload_for_ms;
+            let warmth = ((from - born) / rules.warm_up_ms).min(1.0);
+            let capacity = rules.initial_capacity_ratio + (1.0 - rules.initial_capacity_ratio) * warmth;
+            let tips = rules.collapse_load_ratio * capacity * fair * rules.collapse_after_ms;
             // One connection is the least that can be sent.
             prop_assert!(sends <= tips.max(1.0) + 1.0, "{} sent, {} tips it", sends, tips);
         }
