--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -91,7 +91,7 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct RawRules {
-    /// Time limit for the first fetch of the server list, if discovery does not push it.
+    /// Time within which the balancer must fetch the server list, if discovery does not push it.
     ask_within_ms: f64,
     /// Share of its capacity that a server has when it starts.
     cold_from: f64,
