--- a/config/src/lib.rs
+++ b/config/src/lib.rs
@@ -137,16 +137,16 @@
     #[must_use]
     pub fn settings(&self) -> marllink_sessions::Settings {
         marllink_sessions::Settings {
-            keepers: usize::from(self.replicas),
+            replicas: usize::from(self.replicas),
             lease_ms: f64::from(self.lease_ms),
-            drift: f64::from(self.clock_drift_percent) / 100.0,
-            token_ms: f64::from(self.token_s) * 1_000.0,
-            journal_bytes: self.max_journal_kib as usize * 1024,
-            journals_bytes: self.max_total_journals_mib as usize * 1024 * 1024,
-            window: self.max_unconfirmed_saves as usize,
-            most_sessions: self.max_sessions as usize,
-            patience_ms: f64::from(self.claim_timeout_ms),
-            most_links: self.max_links as usize,
+            clock_drift_ratio: f64::from(self.clock_drift_percent) / 100.0,
+            token_validity_ms: f64::from(self.token_s) * 1_000.0,
+            max_journal_bytes: self.max_journal_kib as usize * 1024,
+            max_total_journals_bytes: self.max_total_journals_mib as usize * 1024 * 1024,
+            max_unconfirmed_saves: self.max_unconfirmed_saves as usize,
+            max_sessions: self.max_sessions as usize,
+            claim_timeout_ms: f64::from(self.claim_timeout_ms),
+            max_links: self.max_links as usize,
         }
     }
 }
@@ -276,7 +276,7 @@
         let operators =
             parse("o.json", r#"{"sessions":{"keys":"k.json","keepers":5}}"#).expect("the file is valid");
         let settings = operators.sessions.expect("sessions are enabled").settings();
-        assert_eq!(settings, marllink_sessions::Settings { keepers: 5, ..Default::default() });
+        assert_eq!(settings, marllink_sessions::Settings { replicas: 5, ..Default::default() });
     }
 
     #[test]
--- a/node/src/backend/lease_link.rs
+++ b/node/src/backend/lease_link.rs
@@ -7,7 +7,7 @@
 use crate::io::pump::{self, InterleavedLines};
 use marllink::ServerId;
 use marllink_sessions::Event;
-use marllink_sessions::keep::{self, FrameReader, Reply};
+use marllink_sessions::lease_protocol::{self, FrameReader, Reply};
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
 use tokio::net::TcpStream;
@@ -52,11 +52,14 @@
 ) -> Result<(TcpStream, u64, FrameReader), String> {
     let stream = connect(clock, address, HANDSHAKE_TIMEOUT_MS).await.map_err(|e| e.to_string())?;
     let _ = stream.set_nodelay(true);
-    pump::write_all(&stream, keep::hello_line(owner).as_bytes()).await.map_err(|e| e.to_string())?;
+    pump::write_all(&stream, lease_protocol::hello_line(owner).as_bytes())
+        .await
+        .map_err(|e| e.to_string())?;
     let mut frames = FrameReader::default();
     loop {
         if let Some(line) = frames.next_line() {
-            let incarnation = keep::parse_welcome(&line).ok_or("the peer is not a lease replica")?;
+            let incarnation =
+                lease_protocol::parse_welcome(&line).ok_or("the peer is not a lease replica")?;
             return Ok((stream, incarnation, frames));
         }
         let more = pump::read_more(&stream, frames.read_buffer()).await.map_err(|e| e.to_string())?;
@@ -79,7 +82,7 @@
                     let Some(session_driver) = session_driver.upgrade() else {
                         return "the process is shutting down".into();
                     };
-                    session_driver.feed(Event::Heard { server, reply });
+                    session_driver.feed(Event::ReplyReceived { server, reply });
                 }
                 Ok(None) => break,
                 Err(error) => return error.to_string(),
--- a/node/src/cli.rs
+++ b/node/src/cli.rs
@@ -204,21 +204,21 @@
 
 fn inspect(text: &str, keys: &Path) -> Result<String, String> {
     let keys = features::load_keys(keys)?;
-    let token = Token::read(text.as_bytes(), &keys).map_err(|e| format!("the token is {e}"))?;
-    let validity = match Token::open(text.as_bytes(), &keys, features::unix_ms()) {
+    let token = Token::unseal(text.as_bytes(), &keys).map_err(|e| format!("the token is {e}"))?;
+    let validity = match Token::validate(text.as_bytes(), &keys, features::unix_ms()) {
         Ok(_) => "valid now".to_owned(),
         Err(error) => error.to_string(),
     };
-    let Token { session, epoch, upto, holder, keepers, issued_ms, expires_ms } = token;
-    let replicas =
-        keepers.members.iter().map(|m| format!("{:016x} (incarnation {:x})", m.server, m.incarnation));
-    let replicas = replicas.collect::<Vec<_>>().join(", ");
-    let key = Token::key_of(text.as_bytes()).unwrap_or_default();
+    let Token { session, epoch, upto, holder, replicas, issued_ms, expires_ms } = token;
+    let members =
+        replicas.members.iter().map(|m| format!("{:016x} (incarnation {:x})", m.server, m.incarnation));
+    let members = members.collect::<Vec<_>>().join(", ");
+    let key = Token::key_id(text.as_bytes()).unwrap_or_default();
     Ok(format!(
         "session    {session}\nepoch      {epoch}\nconfirmed  {upto}\nserver     {holder:016x}\n\
-         replicas   {replicas} (configuration {})\nissued     {issued_ms} (Unix time, ms)\n\
+         replicas   {members} (configuration {})\nissued     {issued_ms} (Unix time, ms)\n\
          expires    {expires_ms}\nkey        {key}\nvalidity   {validity}",
-        keepers.number
+        replicas.number
     ))
 }
 
--- a/node/src/exchange/handles.rs
+++ b/node/src/exchange/handles.rs
@@ -121,7 +121,7 @@
         let latency_ms = exchange.clock.now() - self.sent_at;
         exchange.core.feed(Event::Established { request: self.id, attempt: self.attempt, latency_ms });
         if let Some(session_driver) = exchange.session_driver_of(self.id) {
-            session_driver.feed(SessionEvent::Established { request: self.id });
+            session_driver.feed(SessionEvent::AttemptEstablished { request: self.id });
         }
         true
     }
@@ -130,7 +130,7 @@
     pub fn request_lease(&self, k: u64) {
         self.lease_requested.set(true);
         if let Some(session_driver) = self.exchange.session_driver_of(self.id) {
-            session_driver.feed(SessionEvent::Renews { request: self.id, k });
+            session_driver.feed(SessionEvent::LeaseRequested { request: self.id, k });
         }
     }
 
@@ -138,7 +138,7 @@
     pub fn saved(&self, pipe: &Pipe, n: u64) {
         pipe.unanswered.borrow_mut().line_received(self.exchange.clock.now());
         if let Some(session_driver) = self.exchange.session_driver_of(self.id) {
-            session_driver.feed(SessionEvent::Saved { request: self.id, n });
+            session_driver.feed(SessionEvent::SavesApplied { request: self.id, n });
         }
         // There may be room again for saves that the client has already sent.
         self.exchange.forward_session_lines(self.id, pipe);
--- a/node/src/exchange/mod.rs
+++ b/node/src/exchange/mod.rs
@@ -27,7 +27,7 @@
 use marllink::{
     AttemptNo, ClassId, Event, Idempotency, NewRequest, Outcome, RequestId, ServerId, Symptom, TenantId,
 };
-use marllink_sessions::{Ask, Event as SessionEvent};
+use marllink_sessions::{Event as SessionEvent, SessionRequest};
 use pipe::Handoff;
 pub use pipe::{HandedOffConnection, HandedOffSocket, Pipe};
 use record::{AttemptCause, AttemptEnd, AttemptRecord, EndReason, RequestRecord};
@@ -252,8 +252,16 @@
         self.entries.borrow_mut().insert(id, entry);
         match (previous_server, session, &self.session_driver) {
             (None, Some(text), Some(session_driver)) => {
-                let ask = if text == "new" { Ask::New } else { Ask::Resume(text.into_bytes()) };
-                session_driver.feed(SessionEvent::Begin { request: id, ask, wait_ms: time_left_ms });
+                let session_request = if text == "new" {
+                    SessionRequest::New
+                } else {
+                    SessionRequest::Resume(text.into_bytes())
+                };
+                session_driver.feed(SessionEvent::SessionRequested {
+                    request: id,
+                    session_request,
+                    wait_ms: time_left_ms,
+                });
             }
             (None, ..) => self.core.feed(Event::Request(new_request)),
             (Some(server), ..) => {
@@ -432,8 +440,8 @@
         let new_request = NewRequest { request, class, tenant, group, ..NewRequest::default() };
         self.core.feed(Event::OpenConnection { request: new_request, server });
         self.core.feed(Event::ConnectionLoad { request, load });
-        if let (Some(passed), Some(session_driver)) = (session, &self.session_driver) {
-            session_driver.feed(SessionEvent::Adopt { request, server, passed });
+        if let (Some(handover), Some(session_driver)) = (session, &self.session_driver) {
+            session_driver.feed(SessionEvent::Adopt { request, server, handover });
         }
         let request_handle =
             RequestHandle { exchange: exchange.clone(), id: request, wait_ms: f64::INFINITY };
@@ -526,7 +534,7 @@
     /// Notifies the session driver that a request has ended.
     fn request_closed(&self, id: RequestId) {
         if let Some(session_driver) = &self.session_driver {
-            session_driver.feed(SessionEvent::Closed { request: id });
+            session_driver.feed(SessionEvent::RequestClosed { request: id });
         }
     }
 
@@ -546,11 +554,11 @@
             match session::from_client(&line) {
                 Some(FromClient::Save(field)) => {
                     pipe.client_to_server.remove(line.len());
-                    session_driver.feed(SessionEvent::Saves { request: id, field });
+                    session_driver.feed(SessionEvent::SaveReceived { request: id, field });
                 }
                 Some(FromClient::Have) => {
                     pipe.client_to_server.remove(line.len());
-                    session_driver.feed(SessionEvent::Has { request: id });
+                    session_driver.feed(SessionEvent::TokenConfirmed { request: id });
                 }
                 None => {
                     pipe.unanswered.borrow_mut().line_sent(self.clock.now());
@@ -639,7 +647,8 @@
         let has_session = entry.session_request.is_some();
         drop(entries);
         if let Some(session_driver) = self.session_driver.as_ref().filter(|_| has_session) {
-            session_driver.feed(SessionEvent::AttemptEnded { request: id, over: outcome == Outcome::Ok });
+            session_driver
+                .feed(SessionEvent::AttemptEnded { request: id, session_over: outcome == Outcome::Ok });
             if closed {
                 self.request_closed(id);
             }
@@ -742,7 +751,7 @@
             self.session_driver.as_ref().filter(|_| has_session).and_then(|session_driver| {
                 // Lines for the server of an earlier attempt, a lease in particular, are not for this one.
                 drop(pipe.inserted_to_server.take());
-                session_driver.feed(SessionEvent::Attempt { request: id, server });
+                session_driver.feed(SessionEvent::AttemptStarted { request: id, server });
                 session_driver.session_ballot(id)
             });
         let restore_retry =
--- a/node/src/exchange/session_driver.rs
+++ b/node/src/exchange/session_driver.rs
@@ -11,7 +11,9 @@
 use crate::membership::directory::Directory;
 use crate::operations::active_settings::ActiveSettings;
 use marllink::{RequestId, ServerId};
-use marllink_sessions::{Command, Event, KeyRing, Listed, Note, Passed, Sessions, Settings, keep};
+use marllink_sessions::{
+    Command, Event, KeyRing, ListedServer, LogEvent, SessionHandover, Sessions, Settings, lease_protocol,
+};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
 use std::rc::{Rc, Weak};
@@ -85,7 +87,7 @@
     }
 
     /// Applies a changed list of servers.
-    pub fn servers_changed(&self, listed: Vec<Listed>) {
+    pub fn servers_changed(&self, listed: Vec<ListedServer>) {
         self.feed(Event::Servers(listed));
     }
 
@@ -98,13 +100,13 @@
     /// Returns the session and ballot under which the server of a request's attempt is to hold the
     /// session, as written in the first line to the server.
     pub fn session_ballot(&self, request: RequestId) -> Option<String> {
-        let (session, ballot) = self.sessions.borrow().held_as(request)?;
+        let (session, ballot) = self.sessions.borrow().session_ballot(request)?;
         Some(format!("{session}.{ballot}"))
     }
 
     /// Returns the time within which a server that accepts a session requests its lease, in milliseconds.
     pub fn lease_request_timeout_ms(&self) -> f64 {
-        self.sessions.borrow().asks_within()
+        self.sessions.borrow().lease_request_timeout_ms()
     }
 
     /// Returns how much longer the server of a request's attempt may hold the session, in milliseconds.
@@ -114,59 +116,59 @@
 
     /// Returns true once the server of a request's attempt has been granted a lease.
     pub fn has_lease(&self, request: RequestId) -> bool {
-        self.sessions.borrow().leased(request)
+        self.sessions.borrow().has_lease(request)
     }
 
     /// Returns true if the client of a request may save more before earlier saves are confirmed.
     pub fn has_room(&self, request: RequestId) -> bool {
-        self.sessions.borrow().room(request) > 0
+        self.sessions.borrow().save_capacity(request) > 0
     }
 
     /// Returns true if the request's session cannot be handed over at the moment.
     pub fn is_busy(&self, request: RequestId) -> bool {
-        self.sessions.borrow().busy(request)
+        self.sessions.borrow().is_busy(request)
     }
 
     /// Releases a session for the handover to the successor process.
-    pub fn hand_over(&self, request: RequestId) -> Option<Passed> {
-        self.sessions.borrow_mut().pass_on(request)
+    pub fn hand_over(&self, request: RequestId) -> Option<SessionHandover> {
+        self.sessions.borrow_mut().hand_over(request)
     }
 
     fn execute(&self, command: Command) {
         let Some(exchange) = self.exchange.borrow().upgrade() else { return };
         match command {
-            Command::Link(server) => self.link(server),
-            Command::Unlink(server) => {
+            Command::OpenLink(server) => self.link(server),
+            Command::CloseLink(server) => {
                 if let Some(link) = self.links.borrow_mut().remove(&server) {
                     link.task.abort();
                 }
             }
             Command::Call { server, call } => {
                 let mut frame = Vec::new();
-                keep::write_frame(&call, &mut frame);
+                lease_protocol::write_frame(&call, &mut frame);
                 let queued = self.links.borrow().get(&server).is_none_or(|link| link.outgoing.push(&frame));
                 if !queued {
                     // The queue of the link is full because the server has stopped reading.
-                    self.execute(Command::Unlink(server));
+                    self.execute(Command::CloseLink(server));
                     self.feed(Event::LinkDown { server });
                 }
             }
             Command::Proceed(request) => exchange.proceed(request),
-            Command::Refuse { request, retry_after_ms } => {
+            Command::ReplyBusy { request, retry_after_ms } => {
                 let limits = &self.settings.current().balancing.limits;
                 let advised_ms =
                     if limits.retry_after { retry_after_ms.min(limits.max_retry_after_ms) } else { 0.0 };
                 tracing::debug!(event = "session_refused", request = request.0, retry_after_ms = advised_ms);
                 exchange.reject_session(request, advised_ms);
             }
-            Command::Reject { request, why } => {
-                tracing::info!(event = "session_rejected", request = request.0, reason = why.name());
+            Command::ReplyError { request, reason } => {
+                tracing::info!(event = "session_rejected", request = request.0, reason = reason.name());
                 exchange.fail_session(request);
             }
-            Command::ToHost { request, lines } => {
+            Command::SendToServer { request, lines } => {
                 exchange.insert_lines(request, &lines, |pipe| &pipe.inserted_to_server)
             }
-            Command::ToClient { request, lines } => {
+            Command::SendToClient { request, lines } => {
                 exchange.insert_lines(request, &lines, |pipe| &pipe.inserted_to_client)
             }
             Command::Move(request) => {
@@ -181,7 +183,7 @@
                     session_driver.feed(Event::Timer);
                 });
             }
-            Command::Note(note) => log_note(note),
+            Command::Log(event) => log_event(event),
         }
     }
 
@@ -209,9 +211,9 @@
     }
 }
 
-fn log_note(note: Note) {
-    match note {
-        Note::Held { session, request, server, epoch, upto, resumed, took_ms } => {
+fn log_event(event: LogEvent) {
+    match event {
+        LogEvent::Held { session, request, server, epoch, upto, resumed, took_ms } => {
             tracing::info!(
                 event = "session_held",
                 session = %session,
@@ -223,23 +225,23 @@
                 took_ms = took_ms.round()
             );
         }
-        Note::Rekept { session, configuration } => {
+        LogEvent::ReplicasChanged { session, configuration } => {
             tracing::info!(event = "session_rekept", session = %session, configuration);
         }
-        Note::Lost { session, epoch } => {
+        LogEvent::TakenOver { session, epoch } => {
             tracing::info!(event = "session_lost", session = %session, epoch);
         }
-        Note::Declined { session, configuration, promised, waiting, none, elsewhere } => {
+        LogEvent::ClaimDeclined { session, configuration, promised, unanswered, no_record, refused } => {
             tracing::info!(
                 event = "claim_declined",
                 session = %session,
                 configuration,
                 promised,
-                waiting,
-                none,
-                elsewhere
+                waiting = unanswered,
+                none = no_record,
+                elsewhere = refused
             );
         }
-        Note::Lapsed { server } => tracing::warn!(event = "keeper_lapsed", host = server.0),
+        LogEvent::LeaseLapsed { server } => tracing::warn!(event = "keeper_lapsed", host = server.0),
     }
 }
--- a/node/src/protocol/discovery.rs
+++ b/node/src/protocol/discovery.rs
@@ -65,8 +65,8 @@
     }
 
     /// Returns the entry in the form used by the session component.
-    pub fn session_entry(&self, zones: &[String]) -> marllink_sessions::Listed {
-        marllink_sessions::Listed {
+    pub fn session_entry(&self, zones: &[String]) -> marllink_sessions::ListedServer {
+        marllink_sessions::ListedServer {
             server: self.server(),
             zone: self.zone(zones),
             ready: self.state == State::Serving,
--- a/node/src/protocol/handover.rs
+++ b/node/src/protocol/handover.rs
@@ -93,7 +93,7 @@
     pub load: f64,
     /// Its session, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub session: Option<marllink_sessions::Passed>,
+    pub session: Option<marllink_sessions::SessionHandover>,
 }
 
 /// Encodes a value as a line, including the line end.
--- a/node/src/protocol/session.rs
+++ b/node/src/protocol/session.rs
@@ -1,6 +1,6 @@
 //! Lines that only occur on connections with a session. See `docs/protocol-resume.md` for the grammar.
 
-use marllink_sessions::keep::Field;
+use marllink_sessions::lease_protocol::Field;
 use winnow::ascii::dec_uint;
 use winnow::combinator::{preceded, separated_pair, terminated};
 use winnow::prelude::*;
--- a/sessions/src/keys.rs
+++ b/sessions/src/keys.rs
@@ -24,33 +24,35 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyError {
     /// It is not of the form that is wanted; where, in words.
-    Form(String),
+    Syntax(String),
     /// It names no key.
-    Empty,
+    NoKeys,
     /// Two keys have this id.
-    Twice(u32),
+    DuplicateId(u32),
     /// The secret of this key is not 64 hexadecimal digits.
-    Secret(u32),
+    MalformedSecret(u32),
     /// The secret of this key is one byte over and over, as in an example that was never filled in.
-    Weak(u32),
+    WeakSecret(u32),
     /// No key seals yet; the first does at this Unix time, in seconds.
-    NoneSeals(u64),
+    NoActiveKey(u64),
 }
 
 impl fmt::Display for KeyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Form(what) => write!(
+            Self::Syntax(what) => write!(
                 f,
                 "{what}; wanted is {{\"keys\":[{{\"id\":1,\"seals_from\":0,\"secret\":\"64 hexadecimal digits\"}}]}}"
             ),
-            Self::Empty => f.write_str("/keys: no key; wanted is one at least"),
-            Self::Twice(id) => write!(f, "/keys: two keys with the id {id}; each needs its own"),
-            Self::Secret(id) => write!(f, "/keys: the secret of key {id} is not 64 hexadecimal digits"),
-            Self::Weak(id) => {
+            Self::NoKeys => f.write_str("/keys: no key; wanted is one at least"),
+            Self::DuplicateId(id) => write!(f, "/keys: two keys with the id {id}; each needs its own"),
+            Self::MalformedSecret(id) => {
+                write!(f, "/keys: the secret of key {id} is not 64 hexadecimal digits")
+            }
+            Self::WeakSecret(id) => {
                 write!(f, "/keys: the secret of key {id} is one byte over and over; draw 32 random bytes")
             }
-            Self::NoneSeals(from) => {
+            Self::NoActiveKey(from) => {
                 write!(f, "/keys: no key seals before {from} (Unix time); one must do so now")
             }
         }
@@ -88,23 +90,23 @@
     pub fn parse(text: &[u8], unix_ms: f64) -> Result<Self, KeyError> {
         let file: File = serde_json::from_slice(text).map_err(|e| {
             // What serde says of a string may show it.
-            KeyError::Form(format!("not a key file at line {}, column {}", e.line(), e.column()))
+            KeyError::Syntax(format!("not a key file at line {}, column {}", e.line(), e.column()))
         })?;
         let mut keys: Vec<Key> = Vec::with_capacity(file.keys.len());
         for key in file.keys {
             if keys.iter().any(|k| k.id == key.id) {
-                return Err(KeyError::Twice(key.id));
+                return Err(KeyError::DuplicateId(key.id));
             }
-            let secret = secret(&key.secret).ok_or(KeyError::Secret(key.id))?;
+            let secret = secret(&key.secret).ok_or(KeyError::MalformedSecret(key.id))?;
             if secret.iter().all(|b| *b == secret[0]) {
-                return Err(KeyError::Weak(key.id));
+                return Err(KeyError::WeakSecret(key.id));
             }
             keys.push(Key { id: key.id, seals_from_s: key.seals_from, secret });
         }
         keys.sort_by_key(|k| k.seals_from_s);
-        let first = keys.first().ok_or(KeyError::Empty)?.seals_from_s;
+        let first = keys.first().ok_or(KeyError::NoKeys)?.seals_from_s;
         let ring = Self { keys };
-        if ring.sealing(unix_ms).is_none() { Err(KeyError::NoneSeals(first)) } else { Ok(ring) }
+        if ring.sealing(unix_ms).is_none() { Err(KeyError::NoActiveKey(first)) } else { Ok(ring) }
     }
 
     /// The id of the key that seals now, and its cipher.
--- a/sessions/src/lib.rs
+++ b/sessions/src/lib.rs
@@ -6,18 +6,18 @@
 //! opened by a [`KeyRing`].
 
 mod claim;
+mod interface;
 mod journal;
 mod keys;
-mod machine;
 mod placement;
 mod session;
+mod state_machine;
 mod timers;
 mod token;
-mod vocabulary;
 
+pub use interface::*;
 pub use keys::{KeyError, KeyRing};
-pub use machine::Sessions;
+pub use state_machine::Sessions;
 pub use token::{Token, TokenError};
-pub use vocabulary::*;
 
-pub use marllink_lease_protocol as keep;
+pub use marllink_lease_protocol as lease_protocol;
--- a/sessions/src/machine.rs
+++ b/sessions/src/state_machine.rs
@@ -5,11 +5,11 @@
 mod holding;
 mod keeping;
 
+use crate::interface::*;
 use crate::keys::KeyRing;
 use crate::placement::Candidate;
 use crate::session::{Session, State};
 use crate::timers::{Due, Timers};
-use crate::vocabulary::*;
 use keeping::Server;
 use marllink::{Millis, RequestId, ServerId};
 use marllink_lease_protocol::{Call, SessionId, call};
@@ -24,13 +24,13 @@
 ///
 /// 1. [`new`](Self::new), then [`Event::Servers`] with the form hosts that are known, and again whenever
 ///    that changes.
-/// 2. Each [`Command::Link`] is answered by [`Event::LinkUp`] or [`Event::LinkDown`]; after an up there is
+/// 2. Each [`Command::OpenLink`] is answered by [`Event::LinkUp`] or [`Event::LinkDown`]; after an up there is
 ///    one down, sooner or later. In between, [`Command::Call`]s are said in order, and each reply is fed as
-///    [`Event::Heard`].
-/// 3. A request: [`Event::Begin`], and once it may [proceed](Command::Proceed), for each attempt
-///    [`Event::Attempt`], the host's [`Event::Renews`] and, if it stands, [`Event::Established`]; then the
+///    [`Event::ReplyReceived`].
+/// 3. A request: [`Event::SessionRequested`], and once it may [proceed](Command::Proceed), for each attempt
+///    [`Event::AttemptStarted`], the host's [`Event::LeaseRequested`] and, if it stands, [`Event::AttemptEstablished`]; then the
 ///    client's and the host's lines. Each attempt ends in one [`Event::AttemptEnded`], the request in one
-///    [`Event::Closed`], in whichever order that happens.
+///    [`Event::RequestClosed`], in whichever order that happens.
 /// 4. [`Command::SetTimer`] is answered by [`Event::Timer`] once that time has passed.
 ///
 /// Events that make no sense, as of requests that are not known, are passed over.
@@ -100,17 +100,21 @@
             Event::Servers(listed) => self.on_servers(&listed, out),
             Event::LinkUp { server, incarnation } => self.on_link_up(server, incarnation, out),
             Event::LinkDown { server } => self.on_link_down(server),
-            Event::Heard { server, reply } => self.on_heard(server, reply, out),
-            Event::Begin { request, ask, wait_ms } => self.on_begin(request, &ask, wait_ms, out),
-            Event::Attempt { request, server } => self.on_attempt(request, server, out),
-            Event::Renews { request, k } => self.on_renews(request, k, out),
-            Event::Established { request } => self.on_established(request, out),
-            Event::Saves { request, field } => self.on_saves(request, field, out),
-            Event::Has { request } => self.on_has(request, out),
-            Event::Saved { request, n } => self.on_saved(request, n),
-            Event::AttemptEnded { request, over } => self.on_attempt_ended(request, over, out),
-            Event::Closed { request } => self.on_closed(request, out),
-            Event::Adopt { request, server, passed } => self.on_adopt(request, server, passed, out),
+            Event::ReplyReceived { server, reply } => self.on_heard(server, reply, out),
+            Event::SessionRequested { request, session_request, wait_ms } => {
+                self.on_begin(request, &session_request, wait_ms, out)
+            }
+            Event::AttemptStarted { request, server } => self.on_attempt(request, server, out),
+            Event::LeaseRequested { request, k } => self.on_renews(request, k, out),
+            Event::AttemptEstablished { request } => self.on_established(request, out),
+            Event::SaveReceived { request, field } => self.on_saves(request, field, out),
+            Event::TokenConfirmed { request } => self.on_has(request, out),
+            Event::SavesApplied { request, n } => self.on_saved(request, n),
+            Event::AttemptEnded { request, session_over } => {
+                self.on_attempt_ended(request, session_over, out)
+            }
+            Event::RequestClosed { request } => self.on_closed(request, out),
+            Event::Adopt { request, server, handover } => self.on_adopt(request, server, handover, out),
             Event::Keys(keys) => self.on_keys(keys),
             Event::Settings(settings) => self.settings = settings,
             Event::Timer => self.timers.fired(),
@@ -142,28 +146,28 @@
 
     /// True once the form host of this request's attempt has been given a lease.
     #[must_use]
-    pub fn leased(&self, request: RequestId) -> bool {
+    pub fn has_lease(&self, request: RequestId) -> bool {
         self.of(request).is_some_and(|s| s.leased)
     }
 
     /// A form host that takes a session asks for its lease at once: one that has not after so long, in
     /// ms, is silent, and waiting for it as long as for an answer would only cost the client its time.
     #[must_use]
-    pub fn asks_within(&self) -> Millis {
+    pub fn lease_request_timeout_ms(&self) -> Millis {
         self.settings.lease_ms / 4.0
     }
 
     /// Under which ballot the form host of this request's attempt is to hold its session.
     #[must_use]
-    pub fn held_as(&self, request: RequestId) -> Option<(SessionId, marllink_lease_protocol::Ballot)> {
+    pub fn session_ballot(&self, request: RequestId) -> Option<(SessionId, marllink_lease_protocol::Ballot)> {
         self.of(request).filter(|s| s.request == Some(request)).map(|s| (s.id, s.ballot))
     }
 
     /// Saves of this request that the client may still send before one is confirmed.
     #[must_use]
-    pub fn room(&self, request: RequestId) -> usize {
+    pub fn save_capacity(&self, request: RequestId) -> usize {
         self.of(request).map_or(usize::MAX, |s| {
-            self.settings.window.saturating_sub((s.journal.upto() - s.applied) as usize)
+            self.settings.max_unconfirmed_saves.saturating_sub((s.journal.upto() - s.applied) as usize)
         })
     }
 
@@ -182,19 +186,19 @@
 
     /// Bytes in all journals.
     #[must_use]
-    pub fn journals(&self) -> usize {
+    pub fn total_journal_bytes(&self) -> usize {
         self.bytes
     }
 
     /// Gives up a session with its connection, for the process that takes this one's place. `None`
     /// while something of it is under way, or if the request has none.
-    pub fn pass_on(&mut self, request: RequestId) -> Option<Passed> {
+    pub fn hand_over(&mut self, request: RequestId) -> Option<SessionHandover> {
         let session = self.of(request).filter(|s| s.idle() && s.hold_until > self.now)?;
-        let passed = Passed {
+        let passed = SessionHandover {
             session: session.id,
             ballot: session.ballot,
-            confirmed: session.confirmed,
-            keepers: session.keepers.clone(),
+            confirmed_epoch: session.confirmed,
+            replicas: session.keepers.clone(),
             journal: session.journal.told(),
             owner: self.owner,
             hold_ms: session.hold_until - self.now,
@@ -206,7 +210,7 @@
 
     /// True if the request has a session that could not be passed on as of now.
     #[must_use]
-    pub fn busy(&self, request: RequestId) -> bool {
+    pub fn is_busy(&self, request: RequestId) -> bool {
         self.of(request).is_some_and(|s| !s.idle() || s.hold_until <= self.now)
     }
 
@@ -271,7 +275,7 @@
     /// Refuses, with some spread so that those refused together do not come again together.
     fn refuse(&mut self, request: RequestId, about_ms: Millis, out: &mut Vec<Command>) {
         let retry_after_ms = about_ms * (0.75 + 0.5 * self.uniform());
-        out.push(Command::Refuse { request, retry_after_ms });
+        out.push(Command::ReplyBusy { request, retry_after_ms });
     }
 
     /// Says something to each of these that is linked as the member it was.
--- a/sessions/src/machine/claiming.rs
+++ b/sessions/src/state_machine/claiming.rs
@@ -2,9 +2,9 @@
 
 use super::{Due, Sessions};
 use crate::claim::{Answer, Claim, Step};
+use crate::interface::{Command, LogEvent, Rejection, SessionRequest};
 use crate::session::{Session, State};
 use crate::token::Token;
-use crate::vocabulary::{Ask, Command, Note, Rejection};
 use marllink::{Millis, RequestId, ServerId};
 use marllink_lease_protocol::{
     Ballot, Call, Claim as ClaimCall, Configuration, LetGo, Point, Pointer, Promised, Refused, SessionId,
@@ -28,35 +28,35 @@
     pub(super) fn on_begin(
         &mut self,
         request: RequestId,
-        ask: &Ask,
+        session_request: &SessionRequest,
         wait_ms: Millis,
         out: &mut Vec<Command>,
     ) {
         if self.requests.contains_key(&request) {
             return;
         }
-        let text = match ask {
-            Ask::New => return self.begin_new(request, out),
-            Ask::Resume(text) => text,
+        let text = match session_request {
+            SessionRequest::New => return self.begin_new(request, out),
+            SessionRequest::Resume(text) => text,
         };
-        let token = match Token::open(text, &self.keys, self.unix()) {
+        let token = match Token::validate(text, &self.keys, self.unix()) {
             Ok(token) => token,
             Err(error) => {
-                out.push(Command::Reject { request, why: Rejection::Token(error) });
+                out.push(Command::ReplyError { request, reason: Rejection::Token(error) });
                 return;
             }
         };
         let id = token.session;
-        let until = self.now + self.settings.patience_ms.min(wait_ms - SPARE_MS);
+        let until = self.now + self.settings.claim_timeout_ms.min(wait_ms - SPARE_MS);
         let Some(session) = self.sessions.get_mut(&id) else {
             if !self.has_room(0) {
                 return self.refuse(request, CONFLICT_MS, out);
             }
             self.insert(Session::new(id, State::Away, None, self.now));
-            return self.claim(id, request, token.epoch, Some(token.keepers), until, out);
+            return self.claim(id, request, token.epoch, Some(token.replicas), until, out);
         };
         if token.epoch < session.confirmed {
-            out.push(Command::Reject { request, why: Rejection::Replayed });
+            out.push(Command::ReplyError { request, reason: Rejection::Replayed });
             return;
         }
         match session.state {
@@ -92,8 +92,8 @@
     /// caretaker, as their keepers have all of it.
     fn has_room(&mut self, bytes: usize) -> bool {
         let full = |this: &Self| {
-            this.sessions.len() >= this.settings.most_sessions
-                || bytes > 0 && this.bytes + bytes > this.settings.journals_bytes
+            this.sessions.len() >= this.settings.max_sessions
+                || bytes > 0 && this.bytes + bytes > this.settings.max_total_journals_bytes
         };
         while full(self) {
             let away = self.sessions.values().filter(|s| matches!(s.state, State::Away));
@@ -226,7 +226,7 @@
                     return self.decline(id, left, out);
                 }
             }
-            Step::Lost => return self.reject(id, Rejection::Lost, out),
+            Step::Lost => return self.reject(id, Rejection::ReplicasLost, out),
         }
         self.schedule(id);
     }
@@ -334,7 +334,7 @@
         session.successor = None;
         session.keep_by(claim.keepers);
         session.bid(claim.ballot);
-        session.expires_at = self.now + self.settings.token_ms;
+        session.expires_at = self.now + self.settings.token_validity_ms;
         if !self.has_room(journal.bytes()) {
             let members = session.keepers.members.clone();
             self.release(&members, id, session.ballot, false, out);
@@ -370,13 +370,13 @@
     fn decline(&mut self, id: SessionId, about_ms: Millis, out: &mut Vec<Command>) {
         if let Some(State::Claiming(claim)) = self.sessions.get(&id).map(|s| &s.state) {
             let count = |of: fn(&Answer) -> bool| claim.answers.iter().filter(|a| of(a)).count();
-            out.push(Command::Note(Note::Declined {
+            out.push(Command::Log(LogEvent::ClaimDeclined {
                 session: id,
                 configuration: claim.keepers.number,
                 promised: count(|a| matches!(a, Answer::Promised(_))),
-                waiting: count(|a| matches!(a, Answer::Waiting)),
-                none: count(|a| matches!(a, Answer::None)),
-                elsewhere: count(|a| matches!(a, Answer::Outbid(_) | Answer::Leased { .. })),
+                unanswered: count(|a| matches!(a, Answer::Waiting)),
+                no_record: count(|a| matches!(a, Answer::None)),
+                refused: count(|a| matches!(a, Answer::Outbid(_) | Answer::Leased { .. })),
             }));
         }
         if let Some(request) = self.abandon(id, out) {
@@ -384,9 +384,9 @@
         }
     }
 
-    fn reject(&mut self, id: SessionId, why: Rejection, out: &mut Vec<Command>) {
+    fn reject(&mut self, id: SessionId, reason: Rejection, out: &mut Vec<Command>) {
         if let Some(request) = self.abandon(id, out) {
-            out.push(Command::Reject { request, why });
+            out.push(Command::ReplyError { request, reason });
         }
     }
 
--- a/sessions/src/machine/holding.rs
+++ b/sessions/src/state_machine/holding.rs
@@ -1,11 +1,11 @@
 //! A session with a form host: leases, saves, tokens, and its end.
 
 use super::{Due, Sessions};
+use crate::interface::{Command, LogEvent, SessionHandover};
 use crate::journal::NotTaken;
 use crate::placement;
 use crate::session::{Session, State};
 use crate::token::Token;
-use crate::vocabulary::{Command, Note, Passed};
 use marllink::{Millis, RequestId, ServerId};
 use marllink_lease_protocol::{Append, Ballot, Configuration, Confirm, Field, Member, SessionId, call};
 use rand_xoshiro::rand_core::Rng;
@@ -64,7 +64,7 @@
     }
 
     fn choose_keepers(&self, id: SessionId, holder: ServerId) -> Vec<Member> {
-        let chosen = placement::choose(id, &self.candidates(), self.settings.keepers, &[], Some(holder));
+        let chosen = placement::choose(id, &self.candidates(), self.settings.replicas, &[], Some(holder));
         let member = |s: ServerId| {
             let incarnation = self.servers.get(&s.0)?.incarnation()?;
             Some(Member { server: s.0, incarnation })
@@ -96,7 +96,7 @@
 
     /// Answers a holder that has asked for a lease, as far as its keepers' leases cover it.
     pub(super) fn grant(&mut self, id: SessionId, out: &mut Vec<Command>) {
-        let (now, drift) = (self.now, self.settings.drift);
+        let (now, clock_drift_ratio) = (self.now, self.settings.clock_drift_ratio);
         let least = self.settings.lease_ms * FIRST_LEASE;
         let Some(session) = self.sessions.get(&id) else { return };
         let (Some(k), Some(request)) = (session.asks, session.request) else { return };
@@ -104,7 +104,7 @@
             return;
         }
         let covered = self.covered_until(id);
-        let ms = ((covered - now) * (1.0 - drift)).floor();
+        let ms = ((covered - now) * (1.0 - clock_drift_ratio)).floor();
         let session = self.sessions.get_mut(&id).expect("just seen");
         if ms < 1.0 || (!session.leased && ms < least) {
             return;
@@ -123,7 +123,7 @@
             lines.extend(format!("STATE {} {}\r\n", session.journal.upto(), fields.len()).bytes());
         }
         self.asking.remove(&id);
-        out.push(Command::ToHost { request, lines });
+        out.push(Command::SendToServer { request, lines });
         self.schedule(id);
     }
 
@@ -136,7 +136,7 @@
         session.state = State::Standing;
         session.token_at = now;
         let id = session.id;
-        out.push(Command::Note(Note::Held {
+        out.push(Command::Log(LogEvent::Held {
             session: id,
             request,
             server: session.holder.unwrap_or_default(),
@@ -151,7 +151,7 @@
 
     /// Gives the client a token of now.
     fn issue_token(&mut self, id: SessionId, out: &mut Vec<Command>) {
-        let (now, unix, lasts) = (self.now, self.unix(), self.settings.token_ms);
+        let (now, unix, lasts) = (self.now, self.unix(), self.settings.token_validity_ms);
         let mut nonce = [0; 24];
         nonce.chunks_mut(8).for_each(|part| part.copy_from_slice(&self.rng.next_u64().to_le_bytes()));
         let Some(session) = self.sessions.get_mut(&id) else { return };
@@ -160,21 +160,23 @@
             epoch: session.ballot.epoch,
             upto: session.applied,
             holder: session.holder.map_or(0, |h| h.0),
-            keepers: session.keepers.clone(),
+            replicas: session.keepers.clone(),
             issued_ms: unix as u64,
             expires_ms: (unix + lasts) as u64,
         };
         session.token_at = now + lasts / 2.0;
         session.expires_at = now + lasts;
         if let (Some(request), Some(text)) = (session.request, token.seal(&self.keys, nonce, unix)) {
-            out.push(Command::ToClient { request, lines: format!("TOKEN {text}\r\n").into_bytes() });
+            out.push(Command::SendToClient { request, lines: format!("TOKEN {text}\r\n").into_bytes() });
         }
         self.schedule(id);
     }
 
     pub(super) fn on_saves(&mut self, request: RequestId, field: Field, out: &mut Vec<Command>) {
-        let (bound, room) =
-            (self.settings.journal_bytes, self.settings.journals_bytes.saturating_sub(self.bytes));
+        let (bound, room) = (
+            self.settings.max_journal_bytes,
+            self.settings.max_total_journals_bytes.saturating_sub(self.bytes),
+        );
         let Some(session) = self.own(request) else { return };
         if !matches!(session.state, State::Standing) {
             return;
@@ -183,16 +185,22 @@
         let before = session.journal.bytes();
         match session.journal.save(&field, bound.min(before.saturating_add(room))) {
             Err(NotTaken::Known) if field.n <= session.applied => {
-                out.push(Command::ToClient { request, lines: format!("SAVED {}\r\n", field.n).into_bytes() });
+                out.push(Command::SendToClient {
+                    request,
+                    lines: format!("SAVED {}\r\n", field.n).into_bytes(),
+                });
             }
             // It is on its way.
             Err(NotTaken::Known) => {}
             Err(NotTaken::Gap) => {
                 let next = session.journal.upto() + 1;
-                out.push(Command::ToClient { request, lines: format!("GAP {next}\r\n").into_bytes() });
+                out.push(Command::SendToClient { request, lines: format!("GAP {next}\r\n").into_bytes() });
             }
             Err(NotTaken::Full) => {
-                out.push(Command::ToClient { request, lines: format!("FULL {}\r\n", field.n).into_bytes() });
+                out.push(Command::SendToClient {
+                    request,
+                    lines: format!("FULL {}\r\n", field.n).into_bytes(),
+                });
             }
             Ok(()) => {
                 let after = session.journal.bytes();
@@ -227,7 +235,7 @@
             session.sent = field.n;
         }
         if !lines.is_empty() {
-            out.push(Command::ToHost { request, lines });
+            out.push(Command::SendToServer { request, lines });
         }
     }
 
@@ -320,23 +328,23 @@
         &mut self,
         request: RequestId,
         server: ServerId,
-        passed: Passed,
+        handover: SessionHandover,
         out: &mut Vec<Command>,
     ) {
-        let id = passed.session;
+        let id = handover.session;
         self.remove(id);
         let mut session = Session::new(id, State::Standing, Some(request), self.now);
-        session.keep_by(passed.keepers);
-        session.bid(passed.ballot);
-        session.from = passed.owner;
-        session.confirmed = passed.confirmed;
-        session.journal = passed.journal.into();
+        session.keep_by(handover.replicas);
+        session.bid(handover.ballot);
+        session.from = handover.owner;
+        session.confirmed = handover.confirmed_epoch;
+        session.journal = handover.journal.into();
         session.sent = session.journal.upto();
         session.applied = session.sent;
         session.holder = Some(server);
         session.leased = true;
-        session.hold_until = self.now + passed.hold_ms;
-        session.expires_at = self.now + self.settings.token_ms;
+        session.hold_until = self.now + handover.hold_ms;
+        session.expires_at = self.now + self.settings.token_validity_ms;
         session.token_at = self.now + TOKENS_OVER_MS * (1.0 + self.uniform());
         let members: Vec<_> = session.keepers.members.clone();
         self.insert(session);
--- a/sessions/src/machine/keeping.rs
+++ b/sessions/src/state_machine/keeping.rs
@@ -1,9 +1,9 @@
 //! Links to keepers, leases at them, and who keeps what.
 
 use super::{Due, Sessions};
+use crate::interface::{Command, ListedServer, LogEvent};
 use crate::placement;
 use crate::session::{State, Vote};
-use crate::vocabulary::{Command, Listed, Note};
 use marllink::{Millis, ServerId, ZoneId};
 use marllink_lease_protocol::{
     Ballot, Call, Configuration, Hold, Member, Point, Pointer, Refused, Renew, Reply, SessionId, Stored, Why,
@@ -97,11 +97,11 @@
 }
 
 impl Sessions {
-    pub(super) fn on_servers(&mut self, listed: &[Listed], out: &mut Vec<Command>) {
+    pub(super) fn on_servers(&mut self, listed: &[ListedServer], out: &mut Vec<Command>) {
         for server in self.servers.values_mut() {
             server.listed = None;
         }
-        for Listed { server, zone, ready } in listed {
+        for ListedServer { server, zone, ready } in listed {
             let entry = self.servers.entry(server.0).or_default();
             entry.listed = Some(Seen { zone: *zone, ready: *ready });
         }
@@ -112,7 +112,7 @@
             .map(|l| placement::Candidate { server: l.server, zone: l.zone })
             .collect();
         let own = SessionId { hi: self.owner, lo: 0 };
-        let pool = placement::choose(own, &ready, self.settings.most_links, &[], None);
+        let pool = placement::choose(own, &ready, self.settings.max_links, &[], None);
         let mut changed = Vec::new();
         for (number, server) in &mut self.servers {
             let pooled = pool.contains(&ServerId(*number));
@@ -146,14 +146,14 @@
         server.wanted_until = now + IDLE_MS;
         if server.link == Link::Down && (server.failures == 0 || server.renew_at <= now) {
             server.link = Link::Making;
-            out.push(Command::Link(ServerId(number)));
+            out.push(Command::OpenLink(ServerId(number)));
         }
     }
 
     pub(super) fn on_link_up(&mut self, server: ServerId, incarnation: u64, out: &mut Vec<Command>) {
         let now = self.now;
         let Some(entry) = self.servers.get_mut(&server.0) else {
-            out.push(Command::Unlink(server));
+            out.push(Command::CloseLink(server));
             return;
         };
         entry.link = Link::Up(incarnation);
@@ -197,7 +197,7 @@
         match server.link {
             Link::Down if needed && server.renew_at <= now => {
                 server.link = Link::Making;
-                out.push(Command::Link(ServerId(number)));
+                out.push(Command::OpenLink(ServerId(number)));
             }
             Link::Down if needed => {
                 let at = server.renew_at;
@@ -208,13 +208,13 @@
                 server.link = Link::Down;
                 server.generation += 1;
                 server.lease_until = 0.0;
-                out.push(Command::Unlink(ServerId(number)));
+                out.push(Command::CloseLink(ServerId(number)));
             }
             Link::Up(_) => {
                 if !server.lapsed && server.lease_until <= now {
                     server.lapsed = true;
                     server.generation += 1;
-                    out.push(Command::Note(Note::Lapsed { server: ServerId(number) }));
+                    out.push(Command::Log(LogEvent::LeaseLapsed { server: ServerId(number) }));
                 }
                 if server.renew_at <= now {
                     server.next_renewal += 1;
@@ -253,7 +253,7 @@
 
     fn on_renewed(&mut self, number: u64, k: u64, out: &mut Vec<Command>) {
         let now = self.now;
-        let runs = self.settings.lease_ms * (1.0 - self.settings.drift);
+        let runs = self.settings.lease_ms * (1.0 - self.settings.clock_drift_ratio);
         let Some(server) = self.servers.get_mut(&number) else { return };
         let Some(at) = server.renewals.iter().position(|(n, _)| *n == k) else { return };
         let (_, sent) = server.renewals.drain(..=at).next_back().expect("it was just seen");
@@ -313,7 +313,7 @@
 
     /// Writes the whole record to one keeper.
     pub(super) fn write(&mut self, id: SessionId, member: Member, out: &mut Vec<Command>) {
-        let keep_ms = (self.settings.token_ms * 1.5) as u64;
+        let keep_ms = (self.settings.token_validity_ms * 1.5) as u64;
         let Some(generation) = self.servers.get(&member.server).map(|s| s.generation) else { return };
         let Some(session) = self.sessions.get_mut(&id) else { return };
         let old = session.keepers.members.contains(&member);
@@ -432,11 +432,11 @@
         let lost = |v: &&Vote| self.is_lost(v) || Some(ServerId(v.member.server)) == holder;
         let stay: Vec<_> =
             session.votes.iter().filter(|v| !lost(v)).map(|v| ServerId(v.member.server)).collect();
-        if stay.len() == session.keepers.members.len() && stay.len() >= self.settings.keepers {
+        if stay.len() == session.keepers.members.len() && stay.len() >= self.settings.replicas {
             return;
         }
         let candidates = self.candidates();
-        let chosen = placement::choose(id, &candidates, self.settings.keepers, &stay, holder);
+        let chosen = placement::choose(id, &candidates, self.settings.replicas, &stay, holder);
         let member = |s: &ServerId| {
             let incarnation = self.servers.get(&s.0)?.incarnation()?;
             Some(Member { server: s.0, incarnation })
@@ -503,7 +503,7 @@
         for member in left {
             self.unkeep(member.server, id);
         }
-        out.push(Command::Note(Note::Rekept { session: id, configuration }));
+        out.push(Command::Log(LogEvent::ReplicasChanged { session: id, configuration }));
         self.schedule(id);
         self.review(id);
     }
@@ -512,7 +512,7 @@
     pub(super) fn lost(&mut self, id: SessionId, out: &mut Vec<Command>) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         let epoch = session.ballot.epoch;
-        out.push(Command::Note(Note::Lost { session: id, epoch }));
+        out.push(Command::Log(LogEvent::TakenOver { session: id, epoch }));
         match (&session.state, session.request) {
             (State::Standing, Some(request)) => {
                 session.state = State::Ending;
@@ -520,7 +520,7 @@
             }
             (State::Asked | State::Claimed, Some(request)) => {
                 session.state = State::Ending;
-                out.push(Command::Refuse { request, retry_after_ms: 0.0 });
+                out.push(Command::ReplyBusy { request, retry_after_ms: 0.0 });
             }
             (State::Away, _) => {
                 self.remove(id);
--- a/sessions/src/token.rs
+++ b/sessions/src/token.rs
@@ -33,7 +33,8 @@
     /// The form host that held the session.
     pub holder: u64,
     /// Who keeps what it has saved.
-    pub keepers: Configuration,
+    #[serde(rename = "keepers")]
+    pub replicas: Configuration,
     /// When it was issued and when it expires: Unix time in milliseconds.
     pub issued_ms: u64,
     /// As above.
@@ -44,19 +45,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TokenError {
     /// It is not the base64 of anything as long as a token.
-    NoToken,
+    Malformed,
     /// It is of another version.
-    Version(u8),
+    UnsupportedVersion(u8),
     /// No key in the file has its key's id.
     UnknownKey(u32),
     /// It was not sealed with that key, or has been changed since.
     Forged,
     /// It was sealed with that key, and says nothing that this version understands.
-    Meaningless,
+    Undecodable,
     /// Its time is past.
     Expired,
     /// It was issued in time to come: a clock is wrong.
-    FromTheFuture,
+    IssuedInFuture,
 }
 
 impl TokenError {
@@ -64,13 +65,13 @@
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
-            Self::NoToken => "no_token",
-            Self::Version(_) => "version",
+            Self::Malformed => "no_token",
+            Self::UnsupportedVersion(_) => "version",
             Self::UnknownKey(_) => "unknown_key",
             Self::Forged => "forged",
-            Self::Meaningless => "meaningless",
+            Self::Undecodable => "meaningless",
             Self::Expired => "expired",
-            Self::FromTheFuture => "from_the_future",
+            Self::IssuedInFuture => "from_the_future",
         }
     }
 }
@@ -78,13 +79,13 @@
 impl fmt::Display for TokenError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NoToken => f.write_str("no token: wanted is the text after `TOKEN `, whole"),
-            Self::Version(version) => write!(f, "version {version}; this program reads {VERSION}"),
+            Self::Malformed => f.write_str("no token: wanted is the text after `TOKEN `, whole"),
+            Self::UnsupportedVersion(version) => write!(f, "version {version}; this program reads {VERSION}"),
             Self::UnknownKey(id) => write!(f, "sealed with key {id}, which is not in the key file"),
             Self::Forged => f.write_str("not sealed with the key that it names, or changed since"),
-            Self::Meaningless => f.write_str("sealed with a known key, but of no meaning here"),
+            Self::Undecodable => f.write_str("sealed with a known key, but of no meaning here"),
             Self::Expired => f.write_str("expired"),
-            Self::FromTheFuture => f.write_str("issued in time to come: a clock is wrong"),
+            Self::IssuedInFuture => f.write_str("issued in time to come: a clock is wrong"),
         }
     }
 }
@@ -111,16 +112,16 @@
     ///
     /// # Errors
     /// Tells why it can't be read.
-    pub fn read(text: &[u8], keys: &KeyRing) -> Result<Self, TokenError> {
+    pub fn unseal(text: &[u8], keys: &KeyRing) -> Result<Self, TokenError> {
         if text.len() > LONGEST {
-            return Err(TokenError::NoToken);
+            return Err(TokenError::Malformed);
         }
-        let bytes = URL_SAFE_NO_PAD.decode(text).map_err(|_| TokenError::NoToken)?;
+        let bytes = URL_SAFE_NO_PAD.decode(text).map_err(|_| TokenError::Malformed)?;
         if bytes.len() <= HEAD {
-            return Err(TokenError::NoToken);
+            return Err(TokenError::Malformed);
         }
         if bytes[0] != VERSION {
-            return Err(TokenError::Version(bytes[0]));
+            return Err(TokenError::UnsupportedVersion(bytes[0]));
         }
         let id = u32::from_be_bytes([bytes[1], bytes[2], bytes[3], bytes[4]]);
         let cipher = keys.opening(id).ok_or(TokenError::UnknownKey(id))?;
@@ -128,20 +129,20 @@
         nonce.copy_from_slice(&bytes[5..HEAD]);
         let payload = Payload { msg: &bytes[HEAD..], aad: &context(id) };
         let plain = cipher.decrypt(&nonce.into(), payload).map_err(|_| TokenError::Forged)?;
-        postcard::from_bytes(&plain).map_err(|_| TokenError::Meaningless)
+        postcard::from_bytes(&plain).map_err(|_| TokenError::Undecodable)
     }
 
     /// Opens a token that must be good at this Unix time, in milliseconds.
     ///
     /// # Errors
     /// Tells why it is not good.
-    pub fn open(text: &[u8], keys: &KeyRing, unix_ms: f64) -> Result<Self, TokenError> {
-        let token = Self::read(text, keys)?;
+    pub fn validate(text: &[u8], keys: &KeyRing, unix_ms: f64) -> Result<Self, TokenError> {
+        let token = Self::unseal(text, keys)?;
         let now = unix_ms.max(0.0) as u64;
         if token.expires_ms <= now {
             Err(TokenError::Expired)
         } else if token.issued_ms > now + SKEW_MS {
-            Err(TokenError::FromTheFuture)
+            Err(TokenError::IssuedInFuture)
         } else {
             Ok(token)
         }
@@ -149,7 +150,7 @@
 
     /// The id of the key that a token names, whoever sealed it.
     #[must_use]
-    pub fn key_of(text: &[u8]) -> Option<u32> {
+    pub fn key_id(text: &[u8]) -> Option<u32> {
         let bytes = URL_SAFE_NO_PAD.decode(text).ok().filter(|b| b.len() > HEAD && b[0] == VERSION)?;
         Some(u32::from_be_bytes([bytes[1], bytes[2], bytes[3], bytes[4]]))
     }
@@ -189,7 +190,7 @@
             epoch: 3,
             upto: 400,
             holder: 9,
-            keepers: Configuration { number: 2, members },
+            replicas: Configuration { number: 2, members },
             issued_ms: NOW as u64,
             expires_ms: NOW as u64 + 60_000,
         }
@@ -200,12 +201,12 @@
         let later = (9, 1_800_000_000, "aa112233445566778899aabbccddeeff00112233445566778899aabbccddeeff");
         let old = token().seal(&ring(&[OLD]), [1; 24], NOW).expect("a key seals");
         let both = ring(&[later, NEW, OLD]);
-        assert_eq!(Token::open(old.as_bytes(), &both, NOW), Ok(token()));
+        assert_eq!(Token::validate(old.as_bytes(), &both, NOW), Ok(token()));
         let new = token().seal(&both, [2; 24], NOW).expect("a key seals");
-        assert_eq!(Token::key_of(new.as_bytes()), Some(8));
-        assert_eq!(Token::open(new.as_bytes(), &ring(&[OLD]), NOW), Err(TokenError::UnknownKey(8)));
+        assert_eq!(Token::key_id(new.as_bytes()), Some(8));
+        assert_eq!(Token::validate(new.as_bytes(), &ring(&[OLD]), NOW), Err(TokenError::UnknownKey(8)));
         let future = token().seal(&both, [2; 24], 1_800_000_000_000.0).expect("a key seals");
-        assert_eq!(Token::key_of(future.as_bytes()), Some(9));
+        assert_eq!(Token::key_id(future.as_bytes()), Some(9));
     }
 
     #[test]
@@ -218,10 +219,10 @@
             for bit in 0..8 {
                 let mut bad = bytes.clone();
                 bad[at] ^= 1 << bit;
-                let opened = Token::open(URL_SAFE_NO_PAD.encode(&bad).as_bytes(), &ring, NOW);
+                let opened = Token::validate(URL_SAFE_NO_PAD.encode(&bad).as_bytes(), &ring, NOW);
                 let reason = opened.expect_err("one bit was changed");
                 match at {
-                    0 => assert!(matches!(reason, TokenError::Version(_))),
+                    0 => assert!(matches!(reason, TokenError::UnsupportedVersion(_))),
                     // One bit turns the id 8 into no other that is there.
                     1..5 => assert!(matches!(reason, TokenError::UnknownKey(_)), "{at}: {reason:?}"),
                     _ => assert_eq!(reason, TokenError::Forged),
@@ -229,32 +230,32 @@
             }
         }
         for end in 0..good.len() {
-            assert!(Token::open(&good.as_bytes()[..end], &ring, NOW).is_err());
+            assert!(Token::validate(&good.as_bytes()[..end], &ring, NOW).is_err());
         }
         let long = good.repeat(20);
-        assert_eq!(Token::open(long.as_bytes(), &ring, NOW), Err(TokenError::NoToken));
+        assert_eq!(Token::validate(long.as_bytes(), &ring, NOW), Err(TokenError::Malformed));
     }
 
     #[test]
     fn a_token_is_good_from_its_issue_to_its_expiry() {
         let ring = ring(&[OLD]);
         let text = token().seal(&ring, [1; 24], NOW).expect("a key seals");
-        let open = |at: f64| Token::open(text.as_bytes(), &ring, at).map(|_| ());
+        let open = |at: f64| Token::validate(text.as_bytes(), &ring, at).map(|_| ());
         assert_eq!(open(NOW + 59_999.0), Ok(()));
         assert_eq!(open(NOW + 60_000.0), Err(TokenError::Expired));
         assert_eq!(open(NOW - 60_000.0), Ok(()));
-        assert_eq!(open(NOW - 600_000.0), Err(TokenError::FromTheFuture));
+        assert_eq!(open(NOW - 600_000.0), Err(TokenError::IssuedInFuture));
     }
 
     #[test]
     fn a_key_file_that_is_not_sound_is_refused_and_no_secret_is_told() {
         let parse =
             |text: &str| KeyRing::parse(text.as_bytes(), NOW).map(|_| ()).expect_err("it is not sound");
-        assert_eq!(parse(r#"{"keys":[]}"#), KeyError::Empty);
-        assert_eq!(parse(&file(&[OLD, OLD])), KeyError::Twice(7));
-        assert_eq!(parse(&file(&[(1, 0, "secret")])), KeyError::Secret(1));
-        assert_eq!(parse(&file(&[(1, 0, &"ab".repeat(32))])), KeyError::Weak(1));
-        assert_eq!(parse(&file(&[(1, 1_800_000_000, OLD.2)])), KeyError::NoneSeals(1_800_000_000));
+        assert_eq!(parse(r#"{"keys":[]}"#), KeyError::NoKeys);
+        assert_eq!(parse(&file(&[OLD, OLD])), KeyError::DuplicateId(7));
+        assert_eq!(parse(&file(&[(1, 0, "secret")])), KeyError::MalformedSecret(1));
+        assert_eq!(parse(&file(&[(1, 0, &"ab".repeat(32))])), KeyError::WeakSecret(1));
+        assert_eq!(parse(&file(&[(1, 1_800_000_000, OLD.2)])), KeyError::NoActiveKey(1_800_000_000));
         let odd = file(&[OLD]).replace("secret", "secrets");
         for error in [parse(&odd), parse(&file(&[(1, 0, &OLD.2[1..])])), parse("{")] {
             assert!(!error.to_string().contains(&OLD.2[1..9]), "{error}");
--- a/sessions/tests/world/mod.rs
+++ b/sessions/tests/world/mod.rs
@@ -6,7 +6,7 @@
 use marllink_emulator::judge::{Verdict, judge};
 use marllink_emulator::model::{Drafter, Entry, Habits, Holder, Keeper, Note, Plant, Say, Wish};
 use marllink_lease_protocol::{Ballot, Call, Field, Reply, SessionId, call, reply};
-use marllink_sessions::{Ask, Command, Event, KeyRing, Listed, Sessions, Settings};
+use marllink_sessions::{Command, Event, KeyRing, ListedServer, SessionRequest, Sessions, Settings};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -377,10 +377,14 @@
 
     // ---- Balancers --------------------------------------------------------------------------------
 
-    fn servers(&self) -> Vec<Listed> {
+    fn servers(&self) -> Vec<ListedServer> {
         (0..self.hosts.len())
             .filter(|h| self.hosts[*h].up)
-            .map(|h| Listed { server: ServerId(h as u64 + 1), zone: ZoneId((h % 2) as u8), ready: true })
+            .map(|h| ListedServer {
+                server: ServerId(h as u64 + 1),
+                zone: ZoneId((h % 2) as u8),
+                ready: true,
+            })
             .collect()
     }
 
@@ -409,7 +413,9 @@
                 self.feed(b, Event::LinkUp { server: ServerId(h as u64 + 1), incarnation: life })
             }
             What::LinkEnds(h) => self.feed(b, Event::LinkDown { server: ServerId(h as u64 + 1) }),
-            What::Heard(h, reply) => self.feed(b, Event::Heard { server: ServerId(h as u64 + 1), reply }),
+            What::Heard(h, reply) => {
+                self.feed(b, Event::ReplyReceived { server: ServerId(h as u64 + 1), reply })
+            }
             What::ClientOpens(drafter, client, line) => {
                 let request = RequestId(self.balancers[b].next);
                 self.balancers[b].next += 1;
@@ -419,8 +425,12 @@
                 self.balancers[b].requests.insert(request, entry);
                 self.balancers[b].by_client.insert(client, request);
                 let token = line.rsplit_once("s=").expect("it asks for a session").1.to_owned();
-                let ask = if token == "new" { Ask::New } else { Ask::Resume(token.into_bytes()) };
-                self.feed(b, Event::Begin { request, ask, wait_ms: 4_800.0 });
+                let session_request = if token == "new" {
+                    SessionRequest::New
+                } else {
+                    SessionRequest::Resume(token.into_bytes())
+                };
+                self.feed(b, Event::SessionRequested { request, session_request, wait_ms: 4_800.0 });
             }
             What::ClientLine(client, line) => {
                 let Some(request) = self.balancers[b].by_client.get(&client).copied() else { return };
@@ -431,9 +441,9 @@
                         let (name, value) = field.split_once('=').expect("a field");
                         let (name, value) = (name.to_owned(), value.as_bytes().to_vec());
                         let field = Field { name, n: n.parse().expect("a number"), value };
-                        self.feed(b, Event::Saves { request, field });
+                        self.feed(b, Event::SaveReceived { request, field });
                     }
-                    "HAVE" => self.feed(b, Event::Has { request }),
+                    "HAVE" => self.feed(b, Event::TokenConfirmed { request }),
                     _ => {}
                 }
             }
@@ -461,25 +471,25 @@
     fn host_line(&mut self, b: usize, conn: u64, line: &str) {
         let Some(request) = self.balancers[b].by_host.get(&conn).copied() else { return };
         let (word, rest) = line.split_once(' ').unwrap_or((line, ""));
-        let leased = self.balancers[b].sessions.leased(request);
+        let leased = self.balancers[b].sessions.has_lease(request);
         let Some(entry) = self.balancers[b].requests.get_mut(&request) else { return };
         let (drafter, client, over) = (entry.drafter, entry.client, entry.over);
         entry.last_word = word.into();
         let to_client = match word {
             "RENEW" => {
-                self.feed(b, Event::Renews { request, k: rest.parse().expect("a number") });
+                self.feed(b, Event::LeaseRequested { request, k: rest.parse().expect("a number") });
                 false
             }
             "UP" => {
                 if leased && !over {
                     entry.standing = true;
                     self.client(b, request, line);
-                    self.feed(b, Event::Established { request });
+                    self.feed(b, Event::AttemptEstablished { request });
                 }
                 false
             }
             "SAVED" => {
-                self.feed(b, Event::Saved { request, n: rest.parse().expect("a number") });
+                self.feed(b, Event::SavesApplied { request, n: rest.parse().expect("a number") });
                 true
             }
             "BUSY" | "ERR" => false,
@@ -505,7 +515,7 @@
         if let Some((conn, h)) = host {
             self.send(Place::Balancer(b), Place::Host(h), conn, What::Ended(conn));
         }
-        self.feed(b, Event::AttemptEnded { request, over: bye });
+        self.feed(b, Event::AttemptEnded { request, session_over: bye });
         if standing || over {
             self.finish_request(b, request);
         } else {
@@ -520,7 +530,7 @@
             let (drafter, client) = (entry.drafter, entry.client);
             self.send(Place::Balancer(b), Place::Drafter(drafter), client, What::Cut(client, "closed"));
             self.balancers[b].by_client.remove(&client);
-            self.feed(b, Event::Closed { request });
+            self.feed(b, Event::RequestClosed { request });
         }
         let Some(entry) = self.balancers[b].requests.get(&request) else { return };
         if entry.host.is_none() {
@@ -553,8 +563,8 @@
         entry.tried.push(h);
         entry.host = Some((conn, h));
         self.balancers[b].by_host.insert(conn, request);
-        self.feed(b, Event::Attempt { request, server: ServerId(h as u64 + 1) });
-        let Some((session, ballot)) = self.balancers[b].sessions.held_as(request) else { return };
+        self.feed(b, Event::AttemptStarted { request, server: ServerId(h as u64 + 1) });
+        let Some((session, ballot)) = self.balancers[b].sessions.session_ballot(request) else { return };
         self.send(Place::Balancer(b), Place::Host(h), conn, What::Opened(conn, b, session, ballot));
         // One that does not stand in time is given up.
         self.at(2_400.0, Place::Balancer(b), What::HoldOver(conn, request));
@@ -566,7 +576,7 @@
     fn carry_out(&mut self, b: usize, command: Command) {
         let here = Place::Balancer(b);
         match command {
-            Command::Link(server) => {
+            Command::OpenLink(server) => {
                 let h = server.0 as usize - 1;
                 if self.apart(here, Place::Host(h)) {
                     self.at(500.0, here, What::LinkEnds(h));
@@ -577,22 +587,22 @@
                     self.at(1.0, here, What::LinkEnds(h));
                 }
             }
-            Command::Unlink(server) => self.at(0.0, here, What::LinkEnds(server.0 as usize - 1)),
+            Command::CloseLink(server) => self.at(0.0, here, What::LinkEnds(server.0 as usize - 1)),
             Command::Call { server, call } => {
                 let owner = self.balancers[b].sessions.owner();
                 let h = server.0 as usize - 1;
                 self.send(here, Place::Host(h), 0, What::Called(b, owner, call));
             }
             Command::Proceed(request) => self.attempt(b, request),
-            Command::Refuse { request, retry_after_ms } => {
+            Command::ReplyBusy { request, retry_after_ms } => {
                 self.client(b, request, &format!("BUSY {}", retry_after_ms.ceil()));
                 self.close(b, request);
             }
-            Command::Reject { request, .. } => {
+            Command::ReplyError { request, .. } => {
                 self.client(b, request, "ERR");
                 self.close(b, request);
             }
-            Command::ToHost { request, lines } => {
+            Command::SendToServer { request, lines } => {
                 let Some((conn, h)) = self.balancers[b].requests.get(&request).and_then(|e| e.host) else {
                     return;
                 };
@@ -600,7 +610,7 @@
                     self.send(here, Place::Host(h), conn, What::Line(conn, line.into()));
                 }
             }
-            Command::ToClient { request, lines } => {
+            Command::SendToClient { request, lines } => {
                 for line in String::from_utf8(lines).expect("text").lines() {
                     self.client(b, request, line);
                 }
@@ -614,7 +624,7 @@
                 self.close(b, request);
             }
             Command::SetTimer(ms) => self.at(ms + 0.01, here, What::Timer),
-            Command::Note(_) => {}
+            Command::Log(_) => {}
         }
     }
 
