--- a/sessions/src/session.rs
+++ b/sessions/src/session.rs
@@ -14,35 +14,35 @@
     /// The decisions look for a form host.
     Claimed,
     /// An attempt is out.
-    Asked,
+    Attempting,
     /// Its connection stands.
-    Standing,
+    Established,
     /// The connection's client has gone; its form host may still hold the session.
-    Ending,
+    Closing,
     /// Nobody holds it. The last owner takes care of its keepers.
-    Away,
+    Detached,
 }
 
 /// What a keeper has been seen to store.
 #[derive(Clone, Debug)]
-pub struct Vote {
+pub struct ReplicaState {
     /// Whose it is.
     pub member: Member,
     /// The generation of its link under which the record was written there, and since when no lease
     /// has lapsed if that is still the link's.
-    pub written: Option<u32>,
+    pub written_generation: Option<u32>,
     /// The same, under way.
-    pub sent: Option<u32>,
+    pub pending_generation: Option<u32>,
     /// It has all saves up to this one.
     pub upto: u64,
     /// It has the pointer to the next configuration.
-    pub pointed: bool,
+    pub has_pointer: bool,
 }
 
-impl Vote {
+impl ReplicaState {
     /// Of a keeper that stores nothing yet.
     pub fn new(member: Member) -> Self {
-        Self { member, written: None, sent: None, upto: 0, pointed: false }
+        Self { member, written_generation: None, pending_generation: None, upto: 0, has_pointer: false }
     }
 }
 
@@ -54,41 +54,41 @@
     /// Its connection, while it has one.
     pub request: Option<RequestId>,
     /// When that was asked for.
-    pub asked_at: Millis,
+    pub requested_at: Millis,
     pub ballot: Ballot,
     /// The epoch that its client has confirmed.
-    pub confirmed: u64,
-    pub keepers: Configuration,
+    pub confirmed_epoch: u64,
+    pub replicas: Configuration,
     /// The configuration that is to follow.
-    pub next: Option<Configuration>,
+    pub next_replicas: Option<Configuration>,
     /// The pointers to that are under way.
-    pub pointing: bool,
+    pub pointers_sent: bool,
     /// Of every member of both.
-    pub votes: Vec<Vote>,
+    pub replica_states: Vec<ReplicaState>,
     pub journal: Journal,
     /// Saves in the journal that the holder has not been given, the oldest first.
-    pub pending: VecDeque<Field>,
+    pub unsent_saves: VecDeque<Field>,
     /// The holder has been given all saves up to this one ...
-    pub sent: u64,
+    pub sent_upto: u64,
     /// ... and has applied all up to this one.
-    pub applied: u64,
+    pub applied_upto: u64,
     /// The form host of the attempt that is out or stands.
     pub holder: Option<ServerId>,
     /// It has asked for a lease by this number and had no answer yet.
-    pub asks: Option<u64>,
+    pub lease_request: Option<u64>,
     /// It has had one.
-    pub leased: bool,
+    pub has_lease: bool,
     /// It lets go by then at the latest, on this clock.
     pub hold_until: Millis,
     /// The client gets a token then.
-    pub token_at: Millis,
+    pub next_token_at: Millis,
     /// The last token expires then.
-    pub expires_at: Millis,
+    pub token_expires_at: Millis,
     /// Another connection that waits for this one's end: its request, the epoch of its token, and
     /// until when it waits.
-    pub successor: Option<(RequestId, u64, Millis)>,
+    pub pending_takeover: Option<(RequestId, u64, Millis)>,
     /// The process that passed it on, until the keepers know of that.
-    pub from: u64,
+    pub previous_owner: u64,
 }
 
 impl Session {
@@ -98,87 +98,88 @@
             id,
             state,
             request,
-            asked_at: now,
+            requested_at: now,
             ballot: Ballot { epoch: 1, attempt: 0 },
-            confirmed: 0,
-            keepers: Configuration::default(),
-            next: None,
-            pointing: false,
-            votes: Vec::new(),
+            confirmed_epoch: 0,
+            replicas: Configuration::default(),
+            next_replicas: None,
+            pointers_sent: false,
+            replica_states: Vec::new(),
             journal: Journal::default(),
-            pending: VecDeque::new(),
-            sent: 0,
-            applied: 0,
+            unsent_saves: VecDeque::new(),
+            sent_upto: 0,
+            applied_upto: 0,
             holder: None,
-            asks: None,
-            leased: false,
+            lease_request: None,
+            has_lease: false,
             hold_until: 0.0,
-            token_at: f64::INFINITY,
-            expires_at: f64::INFINITY,
-            successor: None,
-            from: 0,
+            next_token_at: f64::INFINITY,
+            token_expires_at: f64::INFINITY,
+            pending_takeover: None,
+            previous_owner: 0,
         }
     }
 
     /// Goes over to another ballot: nothing has been stored under that yet.
-    pub fn bid(&mut self, ballot: Ballot) {
+    pub fn set_ballot(&mut self, ballot: Ballot) {
         self.ballot = ballot;
-        self.from = 0;
-        self.pointing = false;
-        for vote in &mut self.votes {
-            *vote = Vote::new(vote.member);
+        self.previous_owner = 0;
+        self.pointers_sent = false;
+        for replica in &mut self.replica_states {
+            *replica = ReplicaState::new(replica.member);
         }
     }
 
     /// Is kept by these from now on, with nothing stored yet.
-    pub fn keep_by(&mut self, keepers: Configuration) {
-        self.votes = keepers.members.iter().copied().map(Vote::new).collect();
-        self.next = None;
-        self.pointing = false;
-        self.keepers = keepers;
+    pub fn set_replicas(&mut self, replicas: Configuration) {
+        self.replica_states = replicas.members.iter().copied().map(ReplicaState::new).collect();
+        self.next_replicas = None;
+        self.pointers_sent = false;
+        self.replicas = replicas;
     }
 
     /// The vote of the keeper at this form host.
-    pub fn vote(&mut self, server: u64) -> Option<&mut Vote> {
-        self.votes.iter_mut().find(|v| v.member.server == server)
+    pub fn replica_state(&mut self, server: u64) -> Option<&mut ReplicaState> {
+        self.replica_states.iter_mut().find(|r| r.member.server == server)
     }
 
     /// What a majority of the keepers has at least, and while they change a majority of both: `of` tells
     /// it for one of them.
-    pub fn quorum<T: PartialOrd + Copy>(&self, none: T, of: impl Fn(&Vote) -> T) -> T {
-        let majority = |keepers: &Configuration| {
-            let vote = |m: &Member| self.votes.iter().find(|v| v.member == *m).map_or(none, &of);
-            let mut all: Vec<T> = keepers.members.iter().map(vote).collect();
-            all.sort_by(|a, b| b.partial_cmp(a).unwrap_or(std::cmp::Ordering::Equal));
-            all.get(keepers.majority() - 1).copied().unwrap_or(none)
+    pub fn quorum_value<T: PartialOrd + Copy>(&self, default: T, value: impl Fn(&ReplicaState) -> T) -> T {
+        let majority = |replicas: &Configuration| {
+            let value_at =
+                |m: &Member| self.replica_states.iter().find(|r| r.member == *m).map_or(default, &value);
+            let mut values: Vec<T> = replicas.members.iter().map(value_at).collect();
+            values.sort_by(|a, b| b.partial_cmp(a).unwrap_or(std::cmp::Ordering::Equal));
+            values.get(replicas.majority() - 1).copied().unwrap_or(default)
         };
-        let now = majority(&self.keepers);
-        match self.next.as_ref().map(majority) {
-            Some(next) if next < now => next,
-            _ => now,
+        let current = majority(&self.replicas);
+        match self.next_replicas.as_ref().map(majority) {
+            Some(next) if next < current => next,
+            _ => current,
         }
     }
 
     /// The last save that outlives the loss of a minority of the keepers.
-    pub fn durable(&self) -> u64 {
-        self.quorum(0, |v| v.upto)
+    pub fn durable_upto(&self) -> u64 {
+        self.quorum_value(0, |r| r.upto)
     }
 
     /// True while a form host holds it or may soon.
-    pub fn out(&self) -> bool {
-        matches!(self.state, State::Asked | State::Standing | State::Ending)
+    pub fn may_be_held(&self) -> bool {
+        matches!(self.state, State::Attempting | State::Established | State::Closing)
     }
 
     /// True if another process could go on with it from here.
-    pub fn idle(&self) -> bool {
-        let all = self.journal.upto();
-        matches!(self.state, State::Standing)
-            && self.pending.is_empty()
-            && self.sent == all
-            && self.applied == all
-            && self.next.is_none()
-            && self.asks.is_none()
-            && self.successor.is_none()
+    pub fn is_idle(&self) -> bool {
+        let last = self.journal.upto();
+        matches!(self.state, State::Established)
+            && self.unsent_saves.is_empty()
+            && self.sent_upto == last
+            && self.applied_upto == last
+            && self.next_replicas.is_none()
+            && self.lease_request.is_none()
+            && self.pending_takeover.is_none()
     }
 }
 
@@ -189,20 +190,20 @@
     #[test]
     fn a_quorum_is_a_majority_and_of_both_while_keepers_change() {
         let member = |n: u64| Member { server: n, incarnation: 1 };
-        let keepers = |number, of: [u64; 3]| Configuration { number, members: of.map(member).into() };
-        let mut session = Session::new(SessionId::default(), State::Standing, None, 0.0);
-        session.keep_by(keepers(1, [1, 2, 3]));
+        let replicas = |number, of: [u64; 3]| Configuration { number, members: of.map(member).into() };
+        let mut session = Session::new(SessionId::default(), State::Established, None, 0.0);
+        session.set_replicas(replicas(1, [1, 2, 3]));
         for (server, upto) in [(1, 9), (2, 7), (3, 4)] {
-            session.vote(server).expect("it is one").upto = upto;
+            session.replica_state(server).expect("it is one").upto = upto;
         }
-        assert_eq!(session.durable(), 7);
-        session.votes.push(Vote::new(member(4)));
-        session.next = Some(keepers(2, [1, 3, 4]));
-        assert_eq!(session.durable(), 4);
-        session.vote(4).expect("it is one").upto = 8;
-        assert_eq!(session.durable(), 7, "the old ones hold it back");
-        session.keep_by(Configuration { number: 3, members: vec![member(1)] });
-        session.vote(1).expect("it is one").upto = 5;
-        assert_eq!(session.durable(), 5);
+        assert_eq!(session.durable_upto(), 7);
+        session.replica_states.push(ReplicaState::new(member(4)));
+        session.next_replicas = Some(replicas(2, [1, 3, 4]));
+        assert_eq!(session.durable_upto(), 4);
+        session.replica_state(4).expect("it is one").upto = 8;
+        assert_eq!(session.durable_upto(), 7, "the old ones hold it back");
+        session.set_replicas(Configuration { number: 3, members: vec![member(1)] });
+        session.replica_state(1).expect("it is one").upto = 5;
+        assert_eq!(session.durable_upto(), 5);
     }
 }
--- a/sessions/src/state_machine.rs
+++ b/sessions/src/state_machine.rs
@@ -1,20 +1,20 @@
 //! The machine: takes events, gives commands. What it decides about each matter lies in a file of
 //! its own: `claiming`, `holding` and `keeping`.
 
-mod claiming;
-mod holding;
-mod keeping;
+mod claims;
+mod lifecycle;
+mod replication;
 
 use crate::interface::*;
 use crate::keys::KeyRing;
 use crate::placement::Candidate;
 use crate::session::{Session, State};
-use crate::timers::{Due, Timers};
-use keeping::Server;
+use crate::timers::{TimerKey, Timers};
 use marllink::{Millis, RequestId, ServerId};
 use marllink_lease_protocol::{Call, SessionId, call};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use rand_xoshiro::rand_core::{Rng, SeedableRng};
+use replication::Server;
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::collections::VecDeque;
 
@@ -41,30 +41,30 @@
     /// This process, among all that own sessions.
     owner: u64,
     /// Unix time at this clock's zero, in milliseconds.
-    unix: Millis,
+    unix_offset_ms: Millis,
     rng: Xoshiro256PlusPlus,
     now: Millis,
     servers: FxHashMap<u64, Server>,
     sessions: FxHashMap<SessionId, Session>,
     requests: FxHashMap<RequestId, SessionId>,
     /// By the number of a form host: the sessions that it keeps.
-    kept: FxHashMap<u64, FxHashSet<SessionId>>,
+    sessions_by_replica: FxHashMap<u64, FxHashSet<SessionId>>,
     /// Sessions that are claimed just now.
-    claims: FxHashSet<SessionId>,
+    claiming: FxHashSet<SessionId>,
     /// Sessions whose holder waits for a lease.
-    asking: FxHashSet<SessionId>,
+    awaiting_lease: FxHashSet<SessionId>,
     /// Sessions whose keepers are to be looked at, in turn.
-    review: VecDeque<SessionId>,
-    in_review: FxHashSet<SessionId>,
+    review_queue: VecDeque<SessionId>,
+    queued_for_review: FxHashSet<SessionId>,
     /// Of all journals.
-    bytes: usize,
+    total_journal_bytes: usize,
     timers: Timers,
 }
 
 /// So many sessions' keepers are looked at in one go ...
-const REVIEWS: usize = 64;
+const REVIEW_BATCH_COUNT: usize = 64;
 /// ... with such a pause in between, in ms: others' saves must not wait for it.
-const REVIEW_MS: Millis = 5.0;
+const REVIEW_PAUSE_MS: Millis = 5.0;
 
 impl Sessions {
     /// Sessions of a process that owns none yet. `seed` must differ between processes and starts, as
@@ -77,57 +77,57 @@
             settings,
             keys,
             owner: rng.next_u64() | 1,
-            unix: unix_ms - now,
+            unix_offset_ms: unix_ms - now,
             rng,
             now,
             servers: FxHashMap::default(),
             sessions: FxHashMap::default(),
             requests: FxHashMap::default(),
-            kept: FxHashMap::default(),
-            claims: FxHashSet::default(),
-            asking: FxHashSet::default(),
-            review: VecDeque::new(),
-            in_review: FxHashSet::default(),
-            bytes: 0,
+            sessions_by_replica: FxHashMap::default(),
+            claiming: FxHashSet::default(),
+            awaiting_lease: FxHashSet::default(),
+            review_queue: VecDeque::new(),
+            queued_for_review: FxHashSet::default(),
+            total_journal_bytes: 0,
             timers: Timers::default(),
         }
     }
 
     /// Takes one event at `now`, and appends what is to be done. A clock that steps back stands still.
-    pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Command>) {
+    pub fn handle(&mut self, now: Millis, event: Event, commands: &mut Vec<Command>) {
         self.now = self.now.max(now);
         match event {
-            Event::Servers(listed) => self.on_servers(&listed, out),
-            Event::LinkUp { server, incarnation } => self.on_link_up(server, incarnation, out),
+            Event::Servers(listed) => self.on_servers(&listed, commands),
+            Event::LinkUp { server, incarnation } => self.on_link_up(server, incarnation, commands),
             Event::LinkDown { server } => self.on_link_down(server),
-            Event::ReplyReceived { server, reply } => self.on_heard(server, reply, out),
+            Event::ReplyReceived { server, reply } => self.on_reply(server, reply, commands),
             Event::SessionRequested { request, session_request, wait_ms } => {
-                self.on_begin(request, &session_request, wait_ms, out)
+                self.on_session_requested(request, &session_request, wait_ms, commands)
             }
-            Event::AttemptStarted { request, server } => self.on_attempt(request, server, out),
-            Event::LeaseRequested { request, k } => self.on_renews(request, k, out),
-            Event::AttemptEstablished { request } => self.on_established(request, out),
-            Event::SaveReceived { request, field } => self.on_saves(request, field, out),
-            Event::TokenConfirmed { request } => self.on_has(request, out),
-            Event::SavesApplied { request, n } => self.on_saved(request, n),
+            Event::AttemptStarted { request, server } => self.on_attempt_started(request, server, commands),
+            Event::LeaseRequested { request, k } => self.on_lease_requested(request, k, commands),
+            Event::AttemptEstablished { request } => self.on_attempt_established(request, commands),
+            Event::SaveReceived { request, field } => self.on_save_received(request, field, commands),
+            Event::TokenConfirmed { request } => self.on_token_confirmed(request, commands),
+            Event::SavesApplied { request, n } => self.on_saves_applied(request, n),
             Event::AttemptEnded { request, session_over } => {
-                self.on_attempt_ended(request, session_over, out)
+                self.on_attempt_ended(request, session_over, commands)
             }
-            Event::RequestClosed { request } => self.on_closed(request, out),
-            Event::Adopt { request, server, handover } => self.on_adopt(request, server, handover, out),
+            Event::RequestClosed { request } => self.on_request_closed(request, commands),
+            Event::Adopt { request, server, handover } => self.on_adopt(request, server, handover, commands),
             Event::Keys(keys) => self.on_keys(keys),
             Event::Settings(settings) => self.settings = settings,
             Event::Timer => self.timers.fired(),
         }
-        while let Some(due) = self.timers.pop(self.now) {
-            match due {
-                Due::Link(server) => self.on_link_due(server, out),
-                Due::Session(id) => self.on_session_due(id, out),
-                Due::Review => self.on_review(out),
+        while let Some(key) = self.timers.pop_due(self.now) {
+            match key {
+                TimerKey::Link(server) => self.on_link_timer(server, commands),
+                TimerKey::Session(id) => self.on_session_timer(id, commands),
+                TimerKey::Review => self.run_reviews(commands),
             }
         }
-        if let Some(delay) = self.timers.arm(self.now) {
-            out.push(Command::SetTimer(delay));
+        if let Some(delay) = self.timers.next_delay(self.now) {
+            commands.push(Command::SetTimer(delay));
         }
     }
 
@@ -141,13 +141,13 @@
     /// that its form host does not end is over then, and not before.
     #[must_use]
     pub fn hold_until(&self, request: RequestId) -> Millis {
-        self.of(request).map_or(0.0, |s| s.hold_until)
+        self.session_of(request).map_or(0.0, |s| s.hold_until)
     }
 
     /// True once the form host of this request's attempt has been given a lease.
     #[must_use]
     pub fn has_lease(&self, request: RequestId) -> bool {
-        self.of(request).is_some_and(|s| s.leased)
+        self.session_of(request).is_some_and(|s| s.has_lease)
     }
 
     /// A form host that takes a session asks for its lease at once: one that has not after so long, in
@@ -160,46 +160,46 @@
     /// Under which ballot the form host of this request's attempt is to hold its session.
     #[must_use]
     pub fn session_ballot(&self, request: RequestId) -> Option<(SessionId, marllink_lease_protocol::Ballot)> {
-        self.of(request).filter(|s| s.request == Some(request)).map(|s| (s.id, s.ballot))
+        self.session_of(request).filter(|s| s.request == Some(request)).map(|s| (s.id, s.ballot))
     }
 
     /// Saves of this request that the client may still send before one is confirmed.
     #[must_use]
     pub fn save_capacity(&self, request: RequestId) -> usize {
-        self.of(request).map_or(usize::MAX, |s| {
-            self.settings.max_unconfirmed_saves.saturating_sub((s.journal.upto() - s.applied) as usize)
+        self.session_of(request).map_or(usize::MAX, |s| {
+            self.settings.max_unconfirmed_saves.saturating_sub((s.journal.upto() - s.applied_upto) as usize)
         })
     }
 
     /// The session of a request, and its claim's epoch: for logs.
     #[must_use]
     pub fn session(&self, request: RequestId) -> Option<(SessionId, u64)> {
-        self.of(request).map(|s| (s.id, s.ballot.epoch))
+        self.session_of(request).map(|s| (s.id, s.ballot.epoch))
     }
 
     /// How many sessions there are here, and how many of them stand.
     #[must_use]
     pub fn count(&self) -> (usize, usize) {
-        let standing = self.sessions.values().filter(|s| matches!(s.state, State::Standing)).count();
+        let standing = self.sessions.values().filter(|s| matches!(s.state, State::Established)).count();
         (self.sessions.len(), standing)
     }
 
     /// Bytes in all journals.
     #[must_use]
     pub fn total_journal_bytes(&self) -> usize {
-        self.bytes
+        self.total_journal_bytes
     }
 
     /// Gives up a session with its connection, for the process that takes this one's place. `None`
     /// while something of it is under way, or if the request has none.
     pub fn hand_over(&mut self, request: RequestId) -> Option<SessionHandover> {
-        let session = self.of(request).filter(|s| s.idle() && s.hold_until > self.now)?;
+        let session = self.session_of(request).filter(|s| s.is_idle() && s.hold_until > self.now)?;
         let passed = SessionHandover {
             session: session.id,
             ballot: session.ballot,
-            confirmed_epoch: session.confirmed,
-            replicas: session.keepers.clone(),
-            journal: session.journal.told(),
+            confirmed_epoch: session.confirmed_epoch,
+            replicas: session.replicas.clone(),
+            journal: session.journal.to_message(),
             owner: self.owner,
             hold_ms: session.hold_until - self.now,
         };
@@ -211,22 +211,22 @@
     /// True if the request has a session that could not be passed on as of now.
     #[must_use]
     pub fn is_busy(&self, request: RequestId) -> bool {
-        self.of(request).is_some_and(|s| !s.idle() || s.hold_until <= self.now)
+        self.session_of(request).is_some_and(|s| !s.is_idle() || s.hold_until <= self.now)
     }
 
-    fn of(&self, request: RequestId) -> Option<&Session> {
+    fn session_of(&self, request: RequestId) -> Option<&Session> {
         self.sessions.get(self.requests.get(&request)?)
     }
 
-    fn id_of(&self, request: RequestId) -> Option<SessionId> {
+    fn session_id_of(&self, request: RequestId) -> Option<SessionId> {
         self.requests.get(&request).copied()
     }
 
-    fn unix(&self) -> Millis {
-        self.unix + self.now
+    fn unix_ms(&self) -> Millis {
+        self.unix_offset_ms + self.now
     }
 
-    fn uniform(&mut self) -> f64 {
+    fn random_fraction(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
@@ -236,68 +236,68 @@
         if let Some(request) = session.request {
             self.requests.insert(request, id);
         }
-        self.bytes += session.journal.bytes();
-        let members: Vec<_> = session.votes.iter().map(|v| v.member.server).collect();
+        self.total_journal_bytes += session.journal.bytes();
+        let members: Vec<_> = session.replica_states.iter().map(|r| r.member.server).collect();
         self.sessions.insert(id, session);
         for server in members {
-            self.kept.entry(server).or_default().insert(id);
+            self.sessions_by_replica.entry(server).or_default().insert(id);
         }
     }
 
     /// Takes a session out of everything that it is found by.
     fn remove(&mut self, id: SessionId) -> Option<Session> {
         let session = self.sessions.remove(&id)?;
-        for vote in &session.votes {
-            self.unkeep(vote.member.server, id);
+        for replica in &session.replica_states {
+            self.remove_from_replica(replica.member.server, id);
         }
         if let Some(request) = session.request {
             self.requests.remove(&request);
         }
-        if let Some((request, ..)) = session.successor {
+        if let Some((request, ..)) = session.pending_takeover {
             self.requests.remove(&request);
         }
-        self.claims.remove(&id);
-        self.asking.remove(&id);
-        self.bytes -= session.journal.bytes();
-        self.timers.clear(Due::Session(id));
+        self.claiming.remove(&id);
+        self.awaiting_lease.remove(&id);
+        self.total_journal_bytes -= session.journal.bytes();
+        self.timers.clear(TimerKey::Session(id));
         Some(session)
     }
 
-    fn unkeep(&mut self, server: u64, id: SessionId) {
-        if let Some(kept) = self.kept.get_mut(&server) {
+    fn remove_from_replica(&mut self, server: u64, id: SessionId) {
+        if let Some(kept) = self.sessions_by_replica.get_mut(&server) {
             kept.remove(&id);
             if kept.is_empty() {
-                self.kept.remove(&server);
+                self.sessions_by_replica.remove(&server);
             }
         }
     }
 
     /// Refuses, with some spread so that those refused together do not come again together.
-    fn refuse(&mut self, request: RequestId, about_ms: Millis, out: &mut Vec<Command>) {
-        let retry_after_ms = about_ms * (0.75 + 0.5 * self.uniform());
-        out.push(Command::ReplyBusy { request, retry_after_ms });
+    fn reply_busy(&mut self, request: RequestId, about_ms: Millis, commands: &mut Vec<Command>) {
+        let retry_after_ms = about_ms * (0.75 + 0.5 * self.random_fraction());
+        commands.push(Command::ReplyBusy { request, retry_after_ms });
     }
 
     /// Says something to each of these that is linked as the member it was.
-    fn call_all(
+    fn call_members(
         &self,
         members: &[marllink_lease_protocol::Member],
         body: &call::Body,
-        out: &mut Vec<Command>,
+        commands: &mut Vec<Command>,
     ) {
         for member in members {
-            if self.servers.get(&member.server).is_some_and(|s| s.is(member.incarnation)) {
+            if self.servers.get(&member.server).is_some_and(|s| s.is_linked_as(member.incarnation)) {
                 let server = ServerId(member.server);
-                out.push(Command::Call { server, call: Call::new(body.clone()) });
+                commands.push(Command::Call { server, call: Call::new(body.clone()) });
             }
         }
     }
 
     /// Form hosts that could keep something new now.
-    fn candidates(&self) -> Vec<Candidate> {
+    fn replica_candidates(&self) -> Vec<Candidate> {
         let may = |(number, s): (&u64, &Server)| {
             let zone = s.listed.filter(|l| l.ready)?.zone;
-            (s.pooled && s.live(self.now) && s.full_until <= self.now)
+            (s.in_pool && s.has_lease(self.now) && s.full_until <= self.now)
                 .then_some(Candidate { server: ServerId(*number), zone })
         };
         let mut all: Vec<_> = self.servers.iter().filter_map(may).collect();
@@ -306,26 +306,26 @@
         all
     }
 
-    fn on_review(&mut self, out: &mut Vec<Command>) {
-        for _ in 0..REVIEWS {
-            let Some(id) = self.review.pop_front() else { return };
-            self.in_review.remove(&id);
-            self.look_after(id, out);
+    fn run_reviews(&mut self, commands: &mut Vec<Command>) {
+        for _ in 0..REVIEW_BATCH_COUNT {
+            let Some(id) = self.review_queue.pop_front() else { return };
+            self.queued_for_review.remove(&id);
+            self.maintain_replicas(id, commands);
         }
-        self.timers.set(Due::Review, self.now + REVIEW_MS);
+        self.timers.set(TimerKey::Review, self.now + REVIEW_PAUSE_MS);
     }
 
     /// Has the keepers of a session looked at soon.
-    fn review(&mut self, id: SessionId) {
-        if self.in_review.insert(id) {
-            self.review.push_back(id);
-            self.timers.sooner(Due::Review, self.now);
+    fn queue_review(&mut self, id: SessionId) {
+        if self.queued_for_review.insert(id) {
+            self.review_queue.push_back(id);
+            self.timers.set_earlier(TimerKey::Review, self.now);
         }
     }
 
-    fn review_kept_by(&mut self, server: u64) {
-        let mut kept: Vec<_> = self.kept.get(&server).into_iter().flatten().copied().collect();
+    fn queue_reviews_of(&mut self, server: u64) {
+        let mut kept: Vec<_> = self.sessions_by_replica.get(&server).into_iter().flatten().copied().collect();
         kept.sort_unstable();
-        kept.into_iter().for_each(|id| self.review(id));
+        kept.into_iter().for_each(|id| self.queue_review(id));
     }
 }
--- /dev/null
+++ b/sessions/src/state_machine/claims.rs
@@ -0,0 +1,417 @@
+//! A request's way from a token to a session that is its own.
+
+use super::{Sessions, TimerKey};
+use crate::claim::{Claim, ReplicaAnswer, Step};
+use crate::interface::{Command, LogEvent, Rejection, SessionRequest};
+use crate::session::{Session, State};
+use crate::token::Token;
+use marllink::{Millis, RequestId, ServerId};
+use marllink_lease_protocol::{
+    Ballot, Call, Claim as ClaimCall, Configuration, LetGo, Point, Pointer, Promised, Refused, SessionId,
+    Why, call,
+};
+use rand_xoshiro::rand_core::Rng;
+
+/// Who meets another claim on the same session is told to come again after about so long in ms: the
+/// other has it by then, or has given up.
+const CONFLICT_RETRY_MS: Millis = 400.0;
+/// Two that bid against each other wait so long in ms at least, and up to twice that.
+const MIN_BACKOFF_MS: Millis = 20.0;
+/// A holder that is asked to let go does so within this time in ms, or is cut off.
+const RELEASE_TIMEOUT_MS: Millis = 200.0;
+/// What a request needs after its claim to be served in, in ms: a claim must not use it up.
+const RESERVED_FOR_SERVICE_MS: Millis = 200.0;
+/// After the end of a lease so long passes before the next claim, in ms.
+const LEASE_END_MARGIN_MS: Millis = 5.0;
+
+impl Sessions {
+    pub(super) fn on_session_requested(
+        &mut self,
+        request: RequestId,
+        session_request: &SessionRequest,
+        wait_ms: Millis,
+        commands: &mut Vec<Command>,
+    ) {
+        if self.requests.contains_key(&request) {
+            return;
+        }
+        let text = match session_request {
+            SessionRequest::New => return self.begin_session(request, commands),
+            SessionRequest::Resume(text) => text,
+        };
+        let token = match Token::validate(text, &self.keys, self.unix_ms()) {
+            Ok(token) => token,
+            Err(error) => {
+                commands.push(Command::ReplyError { request, reason: Rejection::Token(error) });
+                return;
+            }
+        };
+        let id = token.session;
+        let deadline = self.now + self.settings.claim_timeout_ms.min(wait_ms - RESERVED_FOR_SERVICE_MS);
+        let Some(session) = self.sessions.get_mut(&id) else {
+            if !self.make_room(0) {
+                return self.reply_busy(request, CONFLICT_RETRY_MS, commands);
+            }
+            self.insert(Session::new(id, State::Detached, None, self.now));
+            return self.claim(id, request, token.epoch, Some(token.replicas), deadline, commands);
+        };
+        if token.epoch < session.confirmed_epoch {
+            commands.push(Command::ReplyError { request, reason: Rejection::Replayed });
+            return;
+        }
+        match session.state {
+            State::Detached => self.claim(id, request, token.epoch, None, deadline, commands),
+            // The newcomer has the better claim: the other connection may be half open, and whoever sits
+            // at it is told.
+            State::Established if session.pending_takeover.is_none() => {
+                session.pending_takeover = Some((request, token.epoch, deadline));
+                session.state = State::Closing;
+                let taken = session.request;
+                self.requests.insert(request, id);
+                commands.extend(taken.map(Command::Taken));
+            }
+            State::Closing if session.pending_takeover.is_none() => {
+                session.pending_takeover = Some((request, token.epoch, deadline));
+                self.requests.insert(request, id);
+            }
+            _ => self.reply_busy(request, CONFLICT_RETRY_MS, commands),
+        }
+    }
+
+    fn begin_session(&mut self, request: RequestId, commands: &mut Vec<Command>) {
+        // What nobody could keep must not begin.
+        if !self.make_room(0) || self.replica_candidates().is_empty() {
+            return self.reply_busy(request, CONFLICT_RETRY_MS, commands);
+        }
+        let id = SessionId { hi: self.rng.next_u64(), lo: self.rng.next_u64() };
+        self.insert(Session::new(id, State::Claimed, Some(request), self.now));
+        commands.push(Command::Proceed(request));
+    }
+
+    /// Makes room for one more session with so many bytes: those whose client is away can do without this
+    /// caretaker, as their keepers have all of it.
+    fn make_room(&mut self, bytes: usize) -> bool {
+        let full = |this: &Self| {
+            this.sessions.len() >= this.settings.max_sessions
+                || bytes > 0 && this.total_journal_bytes + bytes > this.settings.max_total_journals_bytes
+        };
+        while full(self) {
+            let away = self.sessions.values().filter(|s| matches!(s.state, State::Detached));
+            let Some(first) =
+                away.min_by(|a, b| a.token_expires_at.total_cmp(&b.token_expires_at).then(a.id.cmp(&b.id)))
+            else {
+                return false;
+            };
+            let id = first.id;
+            self.remove(id);
+        }
+        true
+    }
+
+    /// Claims a session for a request, by the keepers that are known or that a token names.
+    pub(super) fn claim(
+        &mut self,
+        id: SessionId,
+        request: RequestId,
+        token_epoch: u64,
+        replicas: Option<Configuration>,
+        deadline: Millis,
+        commands: &mut Vec<Command>,
+    ) {
+        let now = self.now;
+        let Some(session) = self.sessions.get_mut(&id) else { return };
+        let was_known = replicas.is_none();
+        let epoch = if was_known { session.ballot.epoch.max(token_epoch) } else { token_epoch };
+        let mut claim = Claim {
+            request,
+            token_epoch,
+            ballot: Ballot { epoch: epoch + 1, attempt: 0 },
+            replicas: Configuration::default(),
+            answers: Vec::new(),
+            deadline,
+            retry_at: f64::INFINITY,
+            released_ballot: None,
+            release_requested: None,
+            pending_pointer: None,
+            was_known,
+        };
+        claim.query(replicas.unwrap_or_else(|| session.replicas.clone()));
+        session.state = State::Claiming(Box::new(claim));
+        session.request = Some(request);
+        session.requested_at = now;
+        self.requests.insert(request, id);
+        self.claiming.insert(id);
+        self.query_replicas(id, None, commands);
+    }
+
+    /// Asks the keepers that have not answered: all of them, or one that is linked only now.
+    pub(super) fn query_replicas(&mut self, id: SessionId, only: Option<u64>, commands: &mut Vec<Command>) {
+        let Some(State::Claiming(claim)) = self.sessions.get_mut(&id).map(|s| &mut s.state) else { return };
+        let call = ClaimCall {
+            session: id,
+            ballot: claim.ballot,
+            configuration: claim.replicas.number,
+            token_epoch: claim.token_epoch,
+            proof: claim.released_ballot,
+        };
+        // A holder that was to be asked, and is linked only now.
+        let asked = claim
+            .release_requested
+            .filter(|h| only == Some(h.server) && claim.released_ballot < Some(h.ballot));
+        let members = claim.replicas.members.clone();
+        let waiting: Vec<_> = members
+            .into_iter()
+            .zip(&claim.answers)
+            .filter(|(_, a)| matches!(a, ReplicaAnswer::Pending))
+            .collect();
+        let waiting: Vec<_> = waiting.into_iter().map(|(m, _)| m).collect();
+        for member in waiting.into_iter().filter(|m| only.is_none_or(|only| only == m.server)) {
+            match self.servers.get(&member.server) {
+                Some(server) if server.is_linked_as(member.incarnation) => {
+                    let server = ServerId(member.server);
+                    commands.push(Command::Call { server, call: Call::new(call::Body::Claim(call)) });
+                }
+                // It has begun anew, and forgotten.
+                Some(server) if server.is_linked() => {
+                    if let Some(State::Claiming(claim)) = self.sessions.get_mut(&id).map(|s| &mut s.state)
+                        && let Some(answer) = claim.answer_of(member.server)
+                    {
+                        *answer = ReplicaAnswer::NoRecord;
+                    }
+                }
+                _ => self.ensure_link(member.server, commands),
+            }
+        }
+        if let Some(holder) = asked {
+            self.request_release(id, holder.server, holder.ballot, commands);
+        }
+        self.evaluate_answers(id, commands);
+    }
+
+    fn request_release(&mut self, id: SessionId, holder: u64, ballot: Ballot, commands: &mut Vec<Command>) {
+        if self.servers.get(&holder).is_some_and(super::Server::is_linked) {
+            let call = Call::new(call::Body::LetGo(LetGo { session: id, ballot }));
+            commands.push(Command::Call { server: ServerId(holder), call });
+        } else {
+            self.ensure_link(holder, commands);
+        }
+    }
+
+    /// Does what follows from the answers so far.
+    fn evaluate_answers(&mut self, id: SessionId, commands: &mut Vec<Command>) {
+        let now = self.now;
+        let backoff = MIN_BACKOFF_MS * (1.0 + self.random_fraction());
+        let Some(State::Claiming(claim)) = self.sessions.get_mut(&id).map(|s| &mut s.state) else { return };
+        claim.retry_at = f64::INFINITY;
+        match claim.next_step() {
+            Step::Wait => {}
+            Step::Won(record) => return self.on_claim_won(id, *record, commands),
+            Step::FollowPointer(replicas) => {
+                claim.query(replicas);
+                return self.query_replicas(id, None, commands);
+            }
+            Step::CompletePointer(pointer) => {
+                if claim.pending_pointer.as_ref().is_none_or(|(other, _)| other.to != pointer.to) {
+                    let pointer = Pointer { ballot: claim.ballot, to: pointer.to };
+                    claim.pending_pointer = Some((pointer.clone(), Vec::new()));
+                    let members = claim.replicas.members.clone();
+                    self.call_members(&members, &call::Body::Point(Point { session: id, pointer }), commands);
+                }
+            }
+            Step::RaiseBallot(_) => claim.retry_at = now + backoff,
+            Step::RequestRelease(holder) => {
+                claim.release_requested = Some(holder);
+                claim.retry_at = now + RELEASE_TIMEOUT_MS;
+                self.request_release(id, holder.server, holder.ballot, commands);
+            }
+            Step::RetryAfter(left) => {
+                let at = now + left + LEASE_END_MARGIN_MS;
+                if at <= claim.deadline {
+                    claim.retry_at = at;
+                } else if !claim.answers.iter().any(|a| matches!(a, ReplicaAnswer::Pending)) {
+                    return self.decline_claim(id, left, commands);
+                }
+            }
+            Step::ReplicasLost => return self.reject_claim(id, Rejection::ReplicasLost, commands),
+        }
+        self.schedule(id);
+    }
+
+    /// The time of a claim has come, for one thing or another.
+    pub(super) fn on_claim_timer(&mut self, id: SessionId, commands: &mut Vec<Command>) {
+        let now = self.now;
+        let Some(State::Claiming(claim)) = self.sessions.get_mut(&id).map(|s| &mut s.state) else { return };
+        if now >= claim.deadline {
+            return self.decline_claim(id, CONFLICT_RETRY_MS, commands);
+        }
+        if now >= claim.retry_at {
+            claim.retry_at = f64::INFINITY;
+            let promised = claim.answers.iter().filter_map(|a| match a {
+                ReplicaAnswer::HigherBallot(promised) | ReplicaAnswer::Leased { promised, .. } => {
+                    Some(promised.epoch)
+                }
+                _ => None,
+            });
+            match promised.max() {
+                Some(epoch) if epoch >= claim.ballot.epoch => claim.raise_ballot(epoch + 1),
+                _ => claim.retry_refused(),
+            }
+            return self.query_replicas(id, None, commands);
+        }
+        self.schedule(id);
+    }
+
+    pub(super) fn on_promised(&mut self, server: ServerId, promised: Promised, commands: &mut Vec<Command>) {
+        let id = promised.session;
+        let Some(State::Claiming(claim)) = self.sessions.get_mut(&id).map(|s| &mut s.state) else { return };
+        if claim.ballot != promised.ballot {
+            return;
+        }
+        if let Some(answer) = claim.answer_of(server.0) {
+            *answer = ReplicaAnswer::Promised(Box::new(promised));
+            self.evaluate_answers(id, commands);
+        }
+    }
+
+    pub(super) fn on_claim_refused(
+        &mut self,
+        server: ServerId,
+        refused: Refused,
+        why: Why,
+        commands: &mut Vec<Command>,
+    ) {
+        let id = refused.session;
+        let Some(State::Claiming(claim)) = self.sessions.get_mut(&id).map(|s| &mut s.state) else { return };
+        if claim.ballot != refused.ballot {
+            return;
+        }
+        if why == Why::Stale {
+            return self.reject_claim(id, Rejection::Replayed, commands);
+        }
+        let Some(answer) = claim.answer_of(server.0) else { return };
+        *answer = match why {
+            Why::Leased => ReplicaAnswer::Leased {
+                remaining_ms: f64::from(refused.left_ms),
+                holder: refused.holder,
+                promised: refused.promised,
+            },
+            Why::Outbid => ReplicaAnswer::HigherBallot(refused.promised),
+            _ => ReplicaAnswer::NoRecord,
+        };
+        self.evaluate_answers(id, commands);
+    }
+
+    /// A holder has let go.
+    pub(super) fn on_holder_released(&mut self, server: ServerId, gone: LetGo, commands: &mut Vec<Command>) {
+        let Some(State::Claiming(claim)) = self.sessions.get_mut(&gone.session).map(|s| &mut s.state) else {
+            return;
+        };
+        if claim.release_requested.is_none_or(|h| h.server != server.0 || gone.ballot < h.ballot) {
+            return;
+        }
+        claim.released_ballot = claim.released_ballot.max(Some(gone.ballot));
+        claim.retry_at = self.now;
+        self.on_claim_timer(gone.session, commands);
+    }
+
+    /// A pointer is at one more of the keepers that it leads away from.
+    pub(super) fn on_pointer_stored(&mut self, id: SessionId, commands: &mut Vec<Command>) {
+        let Some(State::Claiming(claim)) = self.sessions.get_mut(&id).map(|s| &mut s.state) else { return };
+        let done = |(pointer, has): &mut (Pointer, Vec<u64>)| {
+            (has.len() >= claim.replicas.majority()).then(|| pointer.to.clone())
+        };
+        if let Some(replicas) = claim.pending_pointer.as_mut().and_then(done) {
+            claim.query(replicas);
+            self.query_replicas(id, None, commands);
+        }
+    }
+
+    /// The session is the claimer's.
+    fn on_claim_won(&mut self, id: SessionId, record: Promised, commands: &mut Vec<Command>) {
+        let Some(mut session) = self.remove(id) else { return };
+        let State::Claiming(claim) = session.state else { return };
+        let request = claim.request;
+        let journal = crate::journal::Journal::from(record.journal);
+        let confirmed = claim.answers.iter().map(|a| match a {
+            ReplicaAnswer::Promised(p) => p.confirmed,
+            _ => 0,
+        });
+        session.confirmed_epoch = confirmed.max().unwrap_or_default();
+        session.state = State::Claimed;
+        session.request = Some(request);
+        session.pending_takeover = None;
+        session.set_replicas(claim.replicas);
+        session.set_ballot(claim.ballot);
+        session.token_expires_at = self.now + self.settings.token_validity_ms;
+        if !self.make_room(journal.bytes()) {
+            let members = session.replicas.members.clone();
+            self.send_release(&members, id, session.ballot, false, commands);
+            return self.reply_busy(request, CONFLICT_RETRY_MS, commands);
+        }
+        session.journal = journal;
+        self.insert(session);
+        commands.push(Command::Proceed(request));
+    }
+
+    /// Gives a claim up, whatever becomes of its request.
+    pub(super) fn abandon_claim(&mut self, id: SessionId, commands: &mut Vec<Command>) -> Option<RequestId> {
+        let Some(State::Claiming(claim)) = self.sessions.get_mut(&id).map(|s| &mut s.state) else {
+            return None;
+        };
+        let (request, ballot, was_known) = (claim.request, claim.ballot, claim.was_known);
+        let members = claim.replicas.members.clone();
+        self.send_release(&members, id, ballot, false, commands);
+        self.claiming.remove(&id);
+        self.requests.remove(&request);
+        if was_known {
+            // Its keepers may have promised the claim, and outbid this caretaker by that: it will see.
+            let session = self.sessions.get_mut(&id).expect("just seen");
+            session.state = State::Detached;
+            session.request = None;
+            self.schedule(id);
+        } else {
+            self.remove(id);
+        }
+        Some(request)
+    }
+
+    fn decline_claim(&mut self, id: SessionId, about_ms: Millis, commands: &mut Vec<Command>) {
+        if let Some(State::Claiming(claim)) = self.sessions.get(&id).map(|s| &s.state) {
+            let count = |of: fn(&ReplicaAnswer) -> bool| claim.answers.iter().filter(|a| of(a)).count();
+            commands.push(Command::Log(LogEvent::ClaimDeclined {
+                session: id,
+                configuration: claim.replicas.number,
+                promised: count(|a| matches!(a, ReplicaAnswer::Promised(_))),
+                unanswered: count(|a| matches!(a, ReplicaAnswer::Pending)),
+                no_record: count(|a| matches!(a, ReplicaAnswer::NoRecord)),
+                refused: count(|a| {
+                    matches!(a, ReplicaAnswer::HigherBallot(_) | ReplicaAnswer::Leased { .. })
+                }),
+            }));
+        }
+        if let Some(request) = self.abandon_claim(id, commands) {
+            self.reply_busy(request, about_ms.max(CONFLICT_RETRY_MS / 4.0), commands);
+        }
+    }
+
+    fn reject_claim(&mut self, id: SessionId, reason: Rejection, commands: &mut Vec<Command>) {
+        if let Some(request) = self.abandon_claim(id, commands) {
+            commands.push(Command::ReplyError { request, reason });
+        }
+    }
+
+    /// Has a session looked at when something of it is due next.
+    pub(super) fn schedule(&mut self, id: SessionId) {
+        let Some(session) = self.sessions.get(&id) else { return };
+        let at = match &session.state {
+            State::Claiming(claim) => claim.deadline.min(claim.retry_at),
+            State::Established => {
+                session.next_token_at.min(if session.has_lease { session.hold_until } else { f64::INFINITY })
+            }
+            State::Detached => session.token_expires_at,
+            State::Closing => session.pending_takeover.map_or(f64::INFINITY, |(.., deadline)| deadline),
+            State::Claimed | State::Attempting => f64::INFINITY,
+        };
+        self.timers.set(TimerKey::Session(id), at);
+    }
+}
--- a/sessions/src/timers.rs
+++ b/sessions/src/timers.rs
@@ -7,7 +7,7 @@
 
 /// What may be due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Due {
+pub enum TimerKey {
     /// Something about the link to this server.
     Link(u64),
     /// Something about this session.
@@ -19,46 +19,46 @@
 /// The times, in microseconds so that they have an order.
 #[derive(Debug, Default)]
 pub struct Timers {
-    order: BTreeSet<(u64, Due)>,
-    times: FxHashMap<Due, u64>,
+    order: BTreeSet<(u64, TimerKey)>,
+    times: FxHashMap<TimerKey, u64>,
     /// For when the node was last asked to call back.
     armed: Option<u64>,
 }
 
 impl Timers {
     /// Makes something due then; not at all if that is infinite.
-    pub fn set(&mut self, due: Due, at: Millis) {
-        self.clear(due);
+    pub fn set(&mut self, key: TimerKey, at: Millis) {
+        self.clear(key);
         if at.is_finite() {
             // Rounded up: what is looked at a moment too soon would be due again at once, for ever.
             let at = (at.max(0.0) * 1_000.0).ceil() as u64 + 1;
-            self.order.insert((at, due));
-            self.times.insert(due, at);
+            self.order.insert((at, key));
+            self.times.insert(key, at);
         }
     }
 
     /// Makes something due then, unless it is sooner.
-    pub fn sooner(&mut self, due: Due, at: Millis) {
-        if self.times.get(&due).is_none_or(|before| (*before as f64) > at * 1_000.0 + 2.0) {
-            self.set(due, at);
+    pub fn set_earlier(&mut self, key: TimerKey, at: Millis) {
+        if self.times.get(&key).is_none_or(|before| (*before as f64) > at * 1_000.0 + 2.0) {
+            self.set(key, at);
         }
     }
 
     /// It is not due any more.
-    pub fn clear(&mut self, due: Due) {
-        if let Some(before) = self.times.remove(&due) {
-            self.order.remove(&(before, due));
+    pub fn clear(&mut self, key: TimerKey) {
+        if let Some(before) = self.times.remove(&key) {
+            self.order.remove(&(before, key));
         }
     }
 
     /// Takes the next that is due.
-    pub fn pop(&mut self, now: Millis) -> Option<Due> {
-        let (at, due) = *self.order.first()?;
+    pub fn pop_due(&mut self, now: Millis) -> Option<TimerKey> {
+        let (at, key) = *self.order.first()?;
         if at as f64 > now * 1_000.0 {
             return None;
         }
-        self.clear(due);
-        Some(due)
+        self.clear(key);
+        Some(key)
     }
 
     /// The node has called back.
@@ -67,7 +67,7 @@
     }
 
     /// In how long the node is to call back, if that is sooner than it was asked before.
-    pub fn arm(&mut self, now: Millis) -> Option<Millis> {
+    pub fn next_delay(&mut self, now: Millis) -> Option<Millis> {
         let (first, _) = *self.order.first()?;
         if self.armed.is_some_and(|armed| armed <= first) {
             return None;
@@ -84,18 +84,20 @@
     #[test]
     fn nothing_is_due_before_its_time_and_the_node_is_asked_only_for_what_is_sooner() {
         let mut timers = Timers::default();
-        for (due, at) in [(Due::Link(1), 1_000.000_4), (Due::Review, 2_000.0), (Due::Link(2), 3_000.0)] {
-            timers.set(due, at);
+        for (key, at) in
+            [(TimerKey::Link(1), 1_000.000_4), (TimerKey::Review, 2_000.0), (TimerKey::Link(2), 3_000.0)]
+        {
+            timers.set(key, at);
         }
-        assert!(timers.arm(500.0).is_some_and(|ms| (500.0..501.0).contains(&ms)));
-        assert_eq!(timers.arm(500.0), None);
-        assert_eq!(timers.pop(1_000.000_3), None);
-        assert_eq!(timers.pop(1_000.01), Some(Due::Link(1)));
+        assert!(timers.next_delay(500.0).is_some_and(|ms| (500.0..501.0).contains(&ms)));
+        assert_eq!(timers.next_delay(500.0), None);
+        assert_eq!(timers.pop_due(1_000.000_3), None);
+        assert_eq!(timers.pop_due(1_000.01), Some(TimerKey::Link(1)));
         timers.fired();
-        timers.set(Due::Review, 2_500.0);
-        timers.set(Due::Link(2), f64::INFINITY);
-        assert_eq!(timers.pop(2_400.0), None);
-        assert_eq!(timers.pop(2_501.0), Some(Due::Review));
-        assert_eq!((timers.pop(1e9), timers.arm(1e9)), (None, None));
+        timers.set(TimerKey::Review, 2_500.0);
+        timers.set(TimerKey::Link(2), f64::INFINITY);
+        assert_eq!(timers.pop_due(2_400.0), None);
+        assert_eq!(timers.pop_due(2_501.0), Some(TimerKey::Review));
+        assert_eq!((timers.pop_due(1e9), timers.next_delay(1e9)), (None, None));
     }
 }
