--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -1,36 +1,40 @@
-//! Hundreds of the real decisions before a model fleet, in virtual time.
+//! Simulation of a whole fleet in virtual time: hundreds of real balancers' decisions with modelled clients, servers and
+//! discovery.
 //!
-//! A [`Matrix`] names days, strategies and seeds. [`play`] runs one of each and returns what came of
-//! it as [`Figures`], which say not only how much was served but why the rest was not: spread of load,
-//! attempts for each that stood, drops, crossings, probes, cold hosts, moves. The same seed gives the
-//! same run to the byte, whatever else runs beside it. Nothing here reads a clock.
+//! A [`Matrix`] names scenarios, strategies and seeds. [`simulate`] runs one of each and returns the [`RunResults`]:
+//! the share of the wanted value that was served, and what explains the rest, such as load skew, attempts for each
+//! established connection, dropped connections, cross-zone requests, probes, overloaded servers in slow start, and
+//! moves. Runs are reproducible: the same seed gives identical results, whatever else runs on the machine. Nothing in
+//! this crate reads a clock.
 //!
-//! Hosts, clients and the list service are those of `marllink_emulator::model::crowd`; the balancers
-//! are [`marllink::Balancer`], each with its own knowledge, seed and clock. The judge counts what hosts
-//! and clients saw and never asks a balancer.
+//! Servers, clients and discovery are those of `marllink_emulator::model::crowd`. The balancers are
+//! [`marllink::Balancer`], each with its own state, seed and clock. Metrics are taken from servers and clients only,
+//! never from a balancer.
 
-mod day;
-mod drive;
-mod figures;
-mod kind;
-mod ledger;
-mod plain;
-mod queue;
-mod service;
-mod setting;
-mod trouble;
-mod world;
+mod balancer;
+mod baseline;
+mod deployment;
+mod event_queue;
+mod faults;
+mod metrics;
+mod recovery;
+mod results;
+mod scenario;
+mod setup;
+mod simulation;
 
-pub use day::{Bound, Comparison, Day, Fault, Figure, Fleet, Known, Matrix, Shape, Strategy, What};
-pub use figures::{Figures, Interval};
-pub use kind::{Groups, Kind, Size, Sort, Tenant};
-pub use service::{Second, back_after};
+pub use deployment::{ConnectionClass, Deployment, Groups, ServerSize, Tenant};
+pub use recovery::{ServiceSecond, seconds_to_recovery};
+pub use results::{ConfidenceInterval, RunResults};
+pub use scenario::{
+    Bound, Comparison, Fault, FaultKind, FleetSize, InitialList, Matrix, Metric, Scenario, Shape, Strategy,
+};
 
 /// Milliseconds of virtual time.
 pub type Millis = f64;
 
-/// Plays one day under one strategy with one seed.
+/// Runs one scenario under one strategy with one seed.
 #[must_use]
-pub fn play(shape: &Shape, day: &Day, strategy: &Strategy, seed: u64) -> Figures {
-    world::World::new(shape, day, strategy, seed).run()
+pub fn simulate(shape: &Shape, scenario: &Scenario, strategy: &Strategy, seed: u64) -> RunResults {
+    simulation::Simulation::new(shape, scenario, strategy, seed).run()
 }
--- a/fleet/tests/support/mod.rs
+++ b/fleet/tests/support/mod.rs
@@ -1,22 +1,22 @@
-//! What tests of days have in common.
-#![allow(missing_docs, reason = "tests are named for what they show")]
+//! Helpers for tests of scenarios.
+#![allow(missing_docs, reason = "test helpers need no docs beyond their names")]
 
-use marllink_fleet::{Day, Fault, Figure, Figures, What};
+use marllink_fleet::{Fault, FaultKind, Metric, RunResults, Scenario};
 
-pub fn day(load: f64, faults: Vec<(f64, What)>) -> Day {
-    let faults = faults.into_iter().map(|(at_s, what)| Fault { at_s, what }).collect();
-    Day {
+pub fn scenario(load: f64, faults: Vec<(f64, FaultKind)>) -> Scenario {
+    let faults = faults.into_iter().map(|(at_s, kind)| Fault { at_s, kind }).collect();
+    Scenario {
         name: "test".into(),
         load,
         zones: None,
-        traffic: Vec::new(),
-        hosts: Vec::new(),
+        traffic_shares: Vec::new(),
+        server_shares: Vec::new(),
         faults,
-        fleet: None,
-        kind: None,
+        fleet_size: None,
+        deployment: None,
     }
 }
 
-pub fn mean(runs: &[Figures], figure: Figure) -> f64 {
-    runs.iter().map(|run| run.values[&figure]).sum::<f64>() / runs.len() as f64
+pub fn mean(runs: &[RunResults], metric: Metric) -> f64 {
+    runs.iter().map(|run| run.values[&metric]).sum::<f64>() / runs.len() as f64
 }
--- a/lab/src/come_back.rs
+++ b/lab/src/come_back.rs
@@ -22,7 +22,7 @@
 const SAMPLE_MS: f64 = 100.0;
 /// Back in full service: so much of what was before ...
 const FULL: f64 = 0.95;
-/// ... for so many ms. The same words as the fleet's model has (`marllink_fleet::service`).
+/// ... for so many ms. The same words as the fleet's model has (`marllink_fleet::seconds_to_recovery`).
 const FULL_FOR_MS: f64 = 3_000.0;
 /// What was before is the mean over so many ms.
 const BEFORE_MS: f64 = 2_000.0;
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -269,13 +269,13 @@
     matrix::sound(&name, &matrix)?;
     matrix.seeds = seeds.unwrap_or(matrix.seeds);
     if let Some(day) = day {
-        matrix.days.retain(|d| d.name == day);
-        if matrix.days.is_empty() {
+        matrix.scenarios.retain(|d| d.name == day);
+        if matrix.scenarios.is_empty() {
             return Err(format!("{name}: there is no day \"{day}\""));
         }
     }
     if let Some(plant) = plant {
-        matrix.strategies[0] = matrix.strategies[0].planted(plant);
+        matrix.strategies[0] = matrix.strategies[0].with_bug(plant);
         matrix.strategies.truncate(1);
     }
     let folder = balancers::folder(out, &matrix.name).map_err(|e| format!("{}: {e}", out.display()))?;
--- a/lab/src/matrix.rs
+++ b/lab/src/matrix.rs
@@ -1,47 +1,47 @@
 //! `marllink-lab model`: days x strategies x seeds of the fleet in virtual time, over all cores.
 
-use marllink_fleet::{Day, Figure, Figures, Interval, Matrix, Strategy, play};
+use marllink_fleet::{ConfidenceInterval, Matrix, Metric, RunResults, Scenario, Strategy, simulate};
 use plotters::prelude::*;
 use std::error::Error;
 use std::fmt::Write as _;
 use std::path::Path;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Figures shown for each day and strategy, with their heads.
-const SHOWN: [(Figure, &str); 20] = [
-    (Figure::Served, "served"),
-    (Figure::Net, "net"),
-    (Figure::Worst, "worst 5s"),
-    (Figure::LeastTenant, "tenant"),
-    (Figure::Skew, "skew"),
-    (Figure::Vain, "vain 5s"),
-    (Figure::Attempts, "attempts"),
-    (Figure::Dropped, "dropped"),
-    (Figure::Crossed, "crossed"),
-    (Figure::Probes, "probes"),
-    (Figure::Calls, "calls"),
-    (Figure::ColdOver, "cold"),
-    (Figure::Moves, "moves"),
-    (Figure::MovedAtOnce, "at once"),
-    (Figure::Refused, "refused"),
-    (Figure::Stale, "stale"),
-    (Figure::Back, "back s"),
-    (Figure::CallsWorst, "calls/s"),
-    (Figure::Wave, "wave"),
-    (Figure::WaitTail, "wait99"),
+/// RunResults shown for each day and strategy, with their heads.
+const SHOWN: [(Metric, &str); 20] = [
+    (Metric::ServedRatio, "served"),
+    (Metric::NetServedRatio, "net"),
+    (Metric::WorstServedRatio, "worst 5s"),
+    (Metric::WorstTenantServedRatio, "tenant"),
+    (Metric::Skew, "skew"),
+    (Metric::WastedAttempts, "vain 5s"),
+    (Metric::Attempts, "attempts"),
+    (Metric::Dropped, "dropped"),
+    (Metric::CrossZone, "crossed"),
+    (Metric::Probes, "probes"),
+    (Metric::DiscoveryCalls, "calls"),
+    (Metric::SlowStartCollapses, "cold"),
+    (Metric::Moves, "moves"),
+    (Metric::MoveBurst, "at once"),
+    (Metric::Rejected, "refused"),
+    (Metric::StaleAttempts, "stale"),
+    (Metric::RecoveryTime, "back s"),
+    (Metric::PeakDiscoveryCalls, "calls/s"),
+    (Metric::AttemptBurst, "wave"),
+    (Metric::WaitP99, "wait99"),
 ];
 
 /// One run of the matrix.
 struct Cell<'a> {
-    day: &'a Day,
+    day: &'a Scenario,
     strategy: &'a Strategy,
-    runs: Vec<Figures>,
+    runs: Vec<RunResults>,
 }
 
 impl Cell<'_> {
-    fn interval(&self, figure: Figure) -> Interval {
-        let of = |run: &Figures| run.values.get(&figure).copied().unwrap_or_default();
-        Interval::of(&self.runs.iter().map(of).collect::<Vec<_>>())
+    fn interval(&self, figure: Metric) -> ConfidenceInterval {
+        let of = |run: &RunResults| run.values.get(&figure).copied().unwrap_or_default();
+        ConfidenceInterval::of(&self.runs.iter().map(of).collect::<Vec<_>>())
     }
 }
 
@@ -65,17 +65,17 @@
 /// Plays all of it. Which core plays what is left to chance; what comes of each run is not.
 fn play_all(matrix: &Matrix) -> Vec<Cell<'_>> {
     let each = |day| matrix.strategies.iter().map(move |strategy| (day, strategy));
-    let kinds: Vec<(&Day, &Strategy)> = matrix.days.iter().flat_map(each).collect();
+    let kinds: Vec<(&Scenario, &Strategy)> = matrix.scenarios.iter().flat_map(each).collect();
     let seeds = matrix.seeds as usize;
     let next = AtomicUsize::new(0);
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
-    let mut done: Vec<(usize, Figures)> = std::thread::scope(|scope| {
+    let mut done: Vec<(usize, RunResults)> = std::thread::scope(|scope| {
         let work = || {
             let mut done = Vec::new();
             loop {
                 let at = next.fetch_add(1, Ordering::Relaxed);
                 let Some((day, strategy)) = kinds.get(at / seeds) else { return done };
-                done.push((at, play(&matrix.shape, day, strategy, (at % seeds) as u64 + 1)));
+                done.push((at, simulate(&matrix.shape, day, strategy, (at % seeds) as u64 + 1)));
             }
         };
         let workers: Vec<_> = (0..cores).map(|_| scope.spawn(work)).collect();
@@ -96,9 +96,9 @@
     for cell in cells {
         let _ = write!(text, "{:<16}{:<16}", cell.day.name, cell.strategy.name());
         for (figure, _) in SHOWN {
-            let Interval { mean, half, .. } = cell.interval(figure);
+            let ConfidenceInterval { mean, half_width, .. } = cell.interval(figure);
             let digits = if mean >= 100.0 { 0 } else { 3 };
-            let shown = format!("{mean:.digits$}+-{half:.digits$}");
+            let shown = format!("{mean:.digits$}+-{half_width:.digits$}");
             let _ = write!(text, "{shown:>14}");
         }
         text.push('\n');
@@ -127,19 +127,19 @@
 
 /// Worth served second by second on the first seed of each day, a panel a day.
 fn draw(path: &Path, matrix: &Matrix, cells: &[Cell<'_>]) -> Result<(), Box<dyn Error>> {
-    let rows = matrix.days.len();
+    let rows = matrix.scenarios.len();
     let root = SVGBackend::new(path, (900, 170 * rows as u32)).into_drawing_area();
     root.fill(&WHITE)?;
-    for (panel, day) in root.split_evenly((rows, 1)).iter().zip(&matrix.days) {
+    for (panel, day) in root.split_evenly((rows, 1)).iter().zip(&matrix.scenarios) {
         let mut chart = ChartBuilder::on(panel)
             .margin(8)
             .x_label_area_size(20)
             .y_label_area_size(36)
-            .build_cartesian_2d(0.0..matrix.shape.seconds, 0.0..1.05)?;
+            .build_cartesian_2d(0.0..matrix.shape.duration_s, 0.0..1.05)?;
         chart.configure_mesh().y_labels(3).draw()?;
         for (nth, cell) in cells.iter().filter(|c| c.day.name == day.name).enumerate() {
             let Some(run) = cell.runs.first() else { continue };
-            let points = run.seconds.iter().enumerate().map(|(s, v)| (s as f64, *v));
+            let points = run.served_ratio_by_second.iter().enumerate().map(|(s, v)| (s as f64, *v));
             chart.draw_series(LineSeries::new(points, &Palette99::pick(nth)))?;
         }
     }
@@ -153,8 +153,8 @@
     let mut all = Vec::new();
     for cell in cells.iter().filter(|c| Some(c.strategy.name()) == first) {
         for (seed, run) in cell.runs.iter().enumerate() {
-            if let Some(broken) = run.broken.first() {
-                let count = run.values.get(&Figure::Broken).copied().unwrap_or_default();
+            if let Some(broken) = run.violations.first() {
+                let count = run.values.get(&Metric::Violations).copied().unwrap_or_default();
                 all.push(format!(
                     "{} seed {}: {count} rules broken, first {broken}",
                     cell.day.name,
@@ -162,15 +162,16 @@
                 ));
             }
         }
-        for bound in matrix.verdict.iter().filter(|b| b.binds(&cell.day.name)) {
-            let value = cell.interval(bound.figure).mean;
+        for bound in matrix.bounds.iter().filter(|b| b.applies_to(&cell.day.name)) {
+            let value = cell.interval(bound.metric).mean;
             if !bound.holds(value) {
-                let (figure, is) = (serde_json::to_value(bound.figure), serde_json::to_value(bound.is));
+                let (figure, is) =
+                    (serde_json::to_value(bound.metric), serde_json::to_value(bound.comparison));
                 let word = |v: Result<serde_json::Value, _>| {
                     v.ok().and_then(|v| v.as_str().map(str::to_owned)).unwrap_or_default()
                 };
                 let (figure, is, day) = (word(figure), word(is), &cell.day.name);
-                all.push(format!("{day}: {figure} is {value:.3}, wanted {is} {}", bound.bound));
+                all.push(format!("{day}: {figure} is {value:.3}, wanted {is} {}", bound.limit));
             }
         }
     }
@@ -188,15 +189,16 @@
 /// # Errors
 /// Names the first that is not.
 pub fn sound(name: &str, matrix: &Matrix) -> Result<(), String> {
-    for (at, day) in matrix.days.iter().enumerate() {
+    for (at, day) in matrix.scenarios.iter().enumerate() {
         let zones = day.zones.unwrap_or(matrix.shape.zones);
-        if day.traffic.len() > zones || day.hosts.len() > zones {
+        if day.traffic_shares.len() > zones || day.server_shares.len() > zones {
             return Err(format!("{name}: /days/{at}: shares for more than the {zones} zones of that day"));
         }
         for (nth, fault) in day.faults.iter().enumerate() {
-            use marllink_fleet::What;
-            if let What::LoseZone { zone, .. } | What::HushZone { zone, .. } | What::CutZone { zone, .. } =
-                fault.what
+            use marllink_fleet::FaultKind;
+            if let FaultKind::LoseZone { zone, .. }
+            | FaultKind::UnresponsiveZone { zone, .. }
+            | FaultKind::PartitionZone { zone, .. } = fault.kind
                 && zone >= zones
             {
                 return Err(format!(
@@ -205,8 +207,10 @@
             }
         }
     }
-    for (at, bound) in matrix.verdict.iter().enumerate() {
-        if let Some(day) = bound.days.iter().find(|d| !matrix.days.iter().any(|day| day.name == **d)) {
+    for (at, bound) in matrix.bounds.iter().enumerate() {
+        if let Some(day) =
+            bound.scenarios.iter().find(|d| !matrix.scenarios.iter().any(|day| day.name == **d))
+        {
             return Err(format!("{name}: /verdict/{at}/days: there is no day \"{day}\""));
         }
     }
