--- a/fleet/src/baseline.rs
+++ b/fleet/src/baseline.rs
@@ -86,8 +86,8 @@
         let untried = |server: &ServerId| !tried.contains(server);
         if let Some(ground_truth) = self.ground_truth.clone() {
             let ground_truth = ground_truth.borrow();
-            // Draws in proportion to free capacity, from the own zone first. All balancers see the same delayed
-            // data, so always taking the best server would overload it.
+            // Draws in proportion to free capacity, from the own zone first. All balancers see the same
+            // delayed data, so always taking the best server would overload it.
             let usable = |snapshot: &&ServerSnapshot| {
                 snapshot.healthy && untried(&snapshot.server) && self.ready.contains(&snapshot.server)
             };
--- a/fleet/src/deployment.rs
+++ b/fleet/src/deployment.rs
@@ -1,4 +1,5 @@
-//! The types of deployments: what servers report, how balancers get the server list, and what connections share.
+//! The types of deployments: what servers report, how balancers get the server list, and what connections
+//! share.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -31,8 +32,8 @@
     #[schemars(range(min = 1.0, max = 300_000.0))]
     #[serde(rename = "warm_ms")]
     pub warm_up_ms: f64,
-    /// True if a server in slow start that is allowed N connections collapses above N + 2 x sqrt(N) + 2, which
-    /// leaves room for random variation; false if it collapses above N + 3.
+    /// True if a server in slow start that is allowed N connections collapses above N + 2 x sqrt(N) + 2,
+    /// which leaves room for random variation; false if it collapses above N + 3.
     #[serde(rename = "fall_by_chance")]
     pub collapse_allows_variation: bool,
     /// The classes of connections.
--- a/fleet/src/faults.rs
+++ b/fleet/src/faults.rs
@@ -18,7 +18,8 @@
 const OVERDUE_AFTER_MS: f64 = 300.0;
 /// Interval at which an overdue message is reported again, in milliseconds.
 const OVERDUE_REPEAT_MS: f64 = 500.0;
-/// Number of connections above its limit that a server in slow start survives, because arrivals vary randomly.
+/// Number of connections above its limit that a server in slow start survives, because arrivals vary
+/// randomly.
 const COLLAPSE_MARGIN_CONNECTIONS: f64 = 3.0;
 
 impl Simulation {
@@ -181,8 +182,8 @@
         self.publish_server(server, (UPDATE_DELAY_MS.0, UPDATE_DELAY_MS.0 * 2.0));
     }
 
-    /// Stops a server and cuts off its connections. If `unannounced` is greater than 0, discovery has to detect the
-    /// loss first, so it publishes it later.
+    /// Stops a server and cuts off its connections. If `unannounced` is greater than 0, discovery has to
+    /// detect the loss first, so it publishes it later.
     pub(crate) fn stop_server(&mut self, server: usize, unannounced: f64) {
         let now = self.now();
         for id in self.servers[server].stop(now) {
@@ -191,7 +192,8 @@
         self.publish_server(server, if unannounced > 0.0 { LOSS_DETECTION_MS } else { UPDATE_DELAY_MS });
     }
 
-    /// Makes a server's machine unresponsive: its connections stay established, but nothing is served on them.
+    /// Makes a server's machine unresponsive: its connections stay established, but nothing is served on
+    /// them.
     fn make_unresponsive(&mut self, server: usize) {
         let now = self.now();
         self.unresponsive[server] = true;
@@ -215,8 +217,8 @@
         self.start_server(server);
     }
 
-    /// Reports a message that has had no reply since `since` to the client's balancer, and schedules the next report
-    /// for as long as the message waits.
+    /// Reports a message that has had no reply since `since` to the client's balancer, and schedules the next
+    /// report for as long as the message waits.
     pub(crate) fn report_overdue_reply(&mut self, request: usize, server: usize, since: Millis) {
         let Some(balancer) =
             self.balancer_if_established(request, server).filter(|_| self.unresponsive[server])
@@ -256,8 +258,8 @@
         self.publish_server(server, UPDATE_DELAY_MS);
     }
 
-    /// Records that a connection reaches a server. A server in slow start collapses if too many do within the time that
-    /// the rules give.
+    /// Records that a connection reaches a server. A server in slow start collapses if too many do within the
+    /// time that the rules give.
     pub(crate) fn record_slow_start_arrival(&mut self, server: usize) {
         let now = self.now();
         let rules = self.balancers[0].settings.rules.clone();
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -1,15 +1,15 @@
-//! Simulation of a whole fleet in virtual time: hundreds of real balancers' decisions with modelled clients, servers and
-//! discovery.
+//! Simulation of a whole fleet in virtual time: hundreds of real balancers' decisions with modelled clients,
+//! servers and discovery.
 //!
-//! A [`Matrix`] names scenarios, strategies and seeds. [`simulate`] runs one of each and returns the [`RunResults`]:
-//! the share of the wanted value that was served, and what explains the rest, such as load skew, attempts for each
-//! established connection, dropped connections, cross-zone requests, probes, overloaded servers in slow start, and
-//! moves. Runs are reproducible: the same seed gives identical results, whatever else runs on the machine. Nothing in
-//! this crate reads a clock.
+//! A [`Matrix`] names scenarios, strategies and seeds. [`simulate`] runs one of each and returns the
+//! [`RunResults`]: the share of the wanted value that was served, and what explains the rest, such as load
+//! skew, attempts for each established connection, dropped connections, cross-zone requests, probes,
+//! overloaded servers in slow start, and moves. Runs are reproducible: the same seed gives identical results,
+//! whatever else runs on the machine. Nothing in this crate reads a clock.
 //!
 //! Servers, clients and discovery are those of `marllink_emulator::model::crowd`. The balancers are
-//! [`marllink::Balancer`], each with its own state, seed and clock. Metrics are taken from servers and clients only,
-//! never from a balancer.
+//! [`marllink::Balancer`], each with its own state, seed and clock. Metrics are taken from servers and
+//! clients only, never from a balancer.
 
 mod balancer;
 mod baseline;
--- a/fleet/src/metrics.rs
+++ b/fleet/src/metrics.rs
@@ -97,7 +97,8 @@
         second.value_served += served;
     }
 
-    /// Adds a tenant's value wanted and served since the last call. Either is `None` if it is above the tenant's quota.
+    /// Adds a tenant's value wanted and served since the last call. Either is `None` if it is above the
+    /// tenant's quota.
     pub fn add_tenant_value(&mut self, tenant: usize, wanted: Option<f64>, served: Option<f64>) {
         if let (Some(wanted), Some(served)) = (wanted, served) {
             self.within_quota[tenant].0 += wanted;
@@ -151,7 +152,8 @@
         }
     }
 
-    /// Computes the results. `sizes` holds each server's size, or `None` for servers that are excluded from the skew.
+    /// Computes the results. `sizes` holds each server's size, or `None` for servers that are excluded from
+    /// the skew.
     pub fn results(
         self,
         sizes: &[Option<u64>],
@@ -182,8 +184,8 @@
             + prices.probe * self.probes / new_clients
             + prices.moves * self.moves / new_clients
             + wasted_work_price;
-        // Guards against moving clients in bursts: a drain should spread its moves over its whole duration. Windows
-        // with fewer than 30 moves are rated as if they had 30.
+        // Guards against moving clients in bursts: a drain should spread its moves over its whole duration.
+        // Windows with fewer than 30 moves are rated as if they had 30.
         let move_bursts = self
             .moves_by_interval
             .windows(MOVE_WINDOW_INTERVALS.min(self.moves_by_interval.len()))
@@ -237,7 +239,8 @@
         }
     }
 
-    /// Returns the largest relative error of a size's share of established connections against its share of capacity.
+    /// Returns the largest relative error of a size's share of established connections against its share of
+    /// capacity.
     fn skew(&self, sizes: &[Option<u64>]) -> f64 {
         let mut by_size = std::collections::BTreeMap::<u64, (f64, f64)>::new();
         for (server, size) in sizes.iter().enumerate() {
@@ -252,8 +255,8 @@
     }
 }
 
-/// Returns the attempts of the second with the most attempts, as a ratio to the mean of the seconds after it; 0 if there
-/// are none.
+/// Returns the attempts of the second with the most attempts, as a ratio to the mean of the seconds after it;
+/// 0 if there are none.
 fn attempt_burst(seconds: &[SecondCounts]) -> f64 {
     let worst = (0..seconds.len()).max_by(|a, b| seconds[*a].attempts.total_cmp(&seconds[*b].attempts));
     let Some(worst) = worst else { return 0.0 };
--- a/fleet/src/recovery.rs
+++ b/fleet/src/recovery.rs
@@ -1,4 +1,5 @@
-//! Time to recovery after a fault, by one definition for the model and for tests that count service by the second.
+//! Time to recovery after a fault, by one definition for the model and for tests that count service by the
+//! second.
 
 /// A second counts as recovered if it serves at least this share of what was served before the fault.
 const RECOVERED_RATIO: f64 = 0.95;
@@ -16,9 +17,10 @@
     pub rejected: f64,
 }
 
-/// Returns the number of seconds from second `at`, in which a fault began, until service has recovered: for 3 s, the
-/// served ratio is at least 95% of what it was before the fault, and no second has more rejections than the worst
-/// second before the fault. Returns `None` if service never recovers, or if less than 5 s precede the fault.
+/// Returns the number of seconds from second `at`, in which a fault began, until service has recovered: for 3
+/// s, the served ratio is at least 95% of what it was before the fault, and no second has more rejections
+/// than the worst second before the fault. Returns `None` if service never recovers, or if less than 5 s
+/// precede the fault.
 #[must_use]
 pub fn seconds_to_recovery(seconds: &[ServiceSecond], at: usize) -> Option<usize> {
     let before = seconds.get(at.checked_sub(BASELINE_SECONDS)?..at)?;
@@ -26,7 +28,8 @@
     let rejected = before.iter().map(|s| s.rejected).fold(0.0, f64::max);
     let recovered =
         |s: &ServiceSecond| s.served_ratio >= RECOVERED_RATIO * served_ratio && s.rejected <= rejected;
-    // A fault may take effect some seconds after it began, so recovery is searched for from the first degraded second.
+    // A fault may take effect some seconds after it began, so recovery is searched for from the first
+    // degraded second.
     let degraded = seconds.get(at..)?.iter().position(|s| !recovered(s));
     let from = degraded.map_or(0, |degraded| degraded + at);
     if degraded.is_none() {
--- a/fleet/src/scenario.rs
+++ b/fleet/src/scenario.rs
@@ -170,7 +170,8 @@
         /// Time between two batches, in seconds.
         every_s: f64,
     },
-    /// A share of the servers drains and exits one by one, and each is replaced by a new server in slow start.
+    /// A share of the servers drains and exits one by one, and each is replaced by a new server in slow
+    /// start.
     #[serde(rename = "replace-hosts")]
     ReplaceServers {
         /// Share of the servers.
@@ -188,7 +189,8 @@
         for_s: f64,
     },
     /// All machines of a zone become unresponsive: open connections stay open without replies, and new
-    /// connections time out. When the machines are back, they reset the open connections and are in slow start.
+    /// connections time out. When the machines are back, they reset the open connections and are in slow
+    /// start.
     #[serde(rename = "hush-zone")]
     UnresponsiveZone {
         /// Index of the zone.
--- a/fleet/src/setup.rs
+++ b/fleet/src/setup.rs
@@ -15,8 +15,8 @@
 
 /// Sigma of the log-normal distribution of true server speeds around the registered ones.
 const SPEED_SIGMA: f64 = 0.15;
-/// Safety margin in the balancers' settings: slow start is assumed to begin at a capacity lower by this factor than it
-/// really does, and to take longer by the same factor.
+/// Safety margin in the balancers' settings: slow start is assumed to begin at a capacity lower by this
+/// factor than it really does, and to take longer by the same factor.
 const SLOW_START_MARGIN: f64 = 9.0 / 7.0;
 
 /// Returns shares by zone that sum to 1; equal shares if none are given.
@@ -38,8 +38,9 @@
     shares.iter().rposition(|s| *s > 0.0).unwrap_or(0)
 }
 
-/// Returns the classes of connections: one for each pair of class and tenant, with the tenants of a class next to each
-/// other. Loads are scaled so that `connections_per_core` average connections use up a standard core.
+/// Returns the classes of connections: one for each pair of class and tenant, with the tenants of a class
+/// next to each other. Loads are scaled so that `connections_per_core` average connections use up a standard
+/// core.
 pub fn classes(deployment: &Deployment, connections_per_core: f64) -> Vec<Class> {
     let mean: f64 = deployment.classes.iter().map(|c| c.share * c.load).sum();
     let of = |class: &ConnectionClass, tenant| Class {
@@ -103,8 +104,8 @@
     }
 }
 
-/// Creates discovery. A call takes time in proportion to the number of servers in the list, up to four times the time
-/// for 90 of them.
+/// Creates discovery. A call takes time in proportion to the number of servers in the list, up to four times
+/// the time for 90 of them.
 pub fn discovery(shape: &Shape, rng: &mut SmallRng) -> Calls {
     let transfer_ms = 20.0 * rng.random_range(0.5..1.5) * (shape.servers as f64 / 90.0).min(4.0);
     Calls::new(Service { places: 4, call_ms: transfer_ms, patience_ms: 2_000.0 })
@@ -136,7 +137,8 @@
         .collect()
 }
 
-/// Returns a balancer's settings. `fleet_connections` is the number of connections that all servers can serve.
+/// Returns a balancer's settings. `fleet_connections` is the number of connections that all servers can
+/// serve.
 fn settings(
     shape: &Shape,
     deployment: &Deployment,
--- a/fleet/src/simulation.rs
+++ b/fleet/src/simulation.rs
@@ -1,4 +1,5 @@
-//! State and event loop of a simulated fleet: clients, a front end for each zone, balancers, the network and servers.
+//! State and event loop of a simulated fleet: clients, a front end for each zone, balancers, the network and
+//! servers.
 
 mod lifecycle;
 mod network;
@@ -163,7 +164,8 @@
     Finished,
 }
 
-/// Value of connections over a time span: in total, and by tenant. The latter is `None` if the tenant is above its quota.
+/// Value of connections over a time span: in total, and by tenant. The latter is `None` if the tenant is
+/// above its quota.
 #[derive(Default)]
 struct ConnectionValue {
     total: f64,
@@ -250,7 +252,8 @@
 }
 
 impl Simulation {
-    /// Creates a fleet at the start of a scenario, with open connections in proportion to the servers' capacity.
+    /// Creates a fleet at the start of a scenario, with open connections in proportion to the servers'
+    /// capacity.
     pub fn new(shape: &Shape, scenario: &Scenario, strategy: &Strategy, seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let size =
@@ -367,7 +370,8 @@
         self.record_ground_truth();
     }
 
-    /// Opens the connections that are established when the scenario begins, and reports them to the balancers.
+    /// Opens the connections that are established when the scenario begins, and reports them to the
+    /// balancers.
     fn open_initial_connections(&mut self) {
         let rate: f64 = (0..self.zones).map(|zone| self.arrival_rate(zone)).sum();
         let connections = (rate * self.shape.mean_lifetime_s * 1_000.0) as usize;
@@ -440,8 +444,8 @@
         client
     }
 
-    /// Returns the server of a group's initial connection: one of as many servers as the group needs for its share of
-    /// the connections.
+    /// Returns the server of a group's initial connection: one of as many servers as the group needs for its
+    /// share of the connections.
     fn initial_server(&mut self, group: u64, capacities: &[f64]) -> usize {
         let share = self.group_shares[group as usize - 1] / self.group_shares.iter().sum::<f64>();
         let servers = (share * capacities.len() as f64).ceil() as usize;
@@ -481,7 +485,8 @@
         index
     }
 
-    /// Returns the balancer that the zone's front end routes a client to; `None` if no balancer is in rotation.
+    /// Returns the balancer that the zone's front end routes a client to; `None` if no balancer is in
+    /// rotation.
     fn route(&mut self, zone: usize) -> Option<usize> {
         let share = |b: &SimulatedBalancer| {
             if b.in_rotation && usize::from(b.settings.zone.0) == zone { b.traffic_share } else { 0.0 }
@@ -530,7 +535,8 @@
             }
             Event::UpdateReports => {
                 for server in 0..self.servers.len() {
-                    // Each server updates in one of seven phases, so that the reports are spread over the interval.
+                    // Each server updates in one of seven phases, so that the reports are spread over the
+                    // interval.
                     if (self.now() / (REPORT_INTERVAL_MS / 7.0)).round() as usize % 7 == server % 7 {
                         let (now, noise) = (self.now(), self.report_noise);
                         self.servers[server].refresh(now, noise, &mut self.rng);
@@ -633,8 +639,8 @@
         }
     }
 
-    /// Returns the value of these connection-seconds by class, over a time span. Connections above a tenant's quota
-    /// have a lower value.
+    /// Returns the value of these connection-seconds by class, over a time span. Connections above a tenant's
+    /// quota have a lower value.
     fn value_of(&self, seconds: &[f64], elapsed_s: f64) -> ConnectionValue {
         let tenants = self.deployment.tenant_count();
         let mut value = ConnectionValue::default();
@@ -651,8 +657,8 @@
         value
     }
 
-    /// Has servers with slow messages send a notice to each balancer that has a connection there, once a second, and
-    /// once more when messages are fast again.
+    /// Has servers with slow messages send a notice to each balancer that has a connection there, once a
+    /// second, and once more when messages are fast again.
     fn send_delay_notices(&mut self) {
         let now = self.now();
         let strictest = self.classes.iter().min_by(|a, b| a.message_aim_ms.total_cmp(&b.message_aim_ms));
@@ -777,7 +783,8 @@
         self.requests[request].current_attempt.as_ref().map(|a| a.server)
     }
 
-    /// Returns the balancer of a request if its connection is established on this server and the balancer still runs.
+    /// Returns the balancer of a request if its connection is established on this server and the balancer
+    /// still runs.
     pub(crate) fn balancer_if_established(&self, request: usize, server: usize) -> Option<usize> {
         let ClientRequest { balancer, incarnation, state, .. } = self.requests[request];
         let established = state == RequestState::Established
--- a/fleet/src/simulation/lifecycle.rs
+++ b/fleet/src/simulation/lifecycle.rs
@@ -156,7 +156,8 @@
         let remaining: Vec<_> =
             self.balancers[balancer].requests.iter().filter(established).copied().collect();
         let steps = SHUTDOWN_MOVE_MS / 50.0;
-        // Spreads the moves over the time that is available: in each step a client moves with probability 1 / steps.
+        // Spreads the moves over the time that is available: in each step a client moves with probability 1 /
+        // steps.
         for request in remaining {
             if self.rng.random::<f64>() < 1.0 / steps {
                 self.move_client(request);
--- a/fleet/src/simulation/network.rs
+++ b/fleet/src/simulation/network.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 impl Simulation {
-    /// Returns the one-way latency between a balancer and a server, in milliseconds; `None` if they can't reach each
-    /// other.
+    /// Returns the one-way latency between a balancer and a server, in milliseconds; `None` if they can't
+    /// reach each other.
     pub(crate) fn one_way_latency(&self, balancer: usize, server: usize) -> Option<Millis> {
         let (a, b) = (usize::from(self.balancers[balancer].settings.zone.0), self.servers[server].form.zone);
         match a == b {
@@ -153,7 +153,8 @@
             }
         };
         let Some(latency) = self.one_way_latency(balancer, server) else {
-            // The server became unreachable while the probe was under way: the balancer's probe times out after 1 s.
+            // The server became unreachable while the probe was under way: the balancer's probe times out
+            // after 1 s.
             let (ok, report) = (false, Vec::new());
             return self
                 .queue
--- a/fleet/tests/slow_start_limits.rs
+++ b/fleet/tests/slow_start_limits.rs
@@ -1,5 +1,5 @@
-//! Servers in slow start under the connections of all balancers together. A server that is allowed N connections
-//! collapses above N + 2 x sqrt(N) + 2.
+//! Servers in slow start under the connections of all balancers together. A server that is allowed N
+//! connections collapses above N + 2 x sqrt(N) + 2.
 #![allow(missing_docs, reason = "test names say which failure they guard against")]
 
 mod support;
