--- a/sessions/src/claim.rs
+++ b/sessions/src/claim.rs
@@ -1,90 +1,90 @@
-//! A claim on a session: what its keepers have answered, and what follows from that.
+//! State of a claim on a session: the answers of its replicas and the resulting next step.
 
 use marllink::{Millis, RequestId};
 use marllink_lease_protocol::{Ballot, Configuration, Holder, Pointer, Promised};
 
-/// What a keeper has answered.
+/// Answer of a replica to a claim.
 #[derive(Clone, Debug)]
 pub enum ReplicaAnswer {
-    /// Nothing yet.
+    /// No answer yet.
     Pending,
-    /// It promises.
+    /// The replica promises the claim.
     Promised(Box<Promised>),
-    /// It has no record, or has begun anew and is not the keeper that it was: it has no vote.
+    /// The replica has no record of the session, or has restarted since. It has no vote.
     NoRecord,
-    /// It has promised as much or more to somebody else.
+    /// The replica has promised the same or a higher ballot to another process.
     HigherBallot(Ballot),
-    /// It is under somebody else's lease.
+    /// The session is covered by the lease of another process.
     Leased {
-        /// For so much longer.
+        /// Maximum remaining time of the lease.
         remaining_ms: Millis,
-        /// Held by this form host, as far as it knows.
+        /// The server that holds the session, as far as the replica knows.
         holder: Option<Holder>,
-        /// What it has promised.
+        /// The highest ballot that the replica has promised.
         promised: Ballot,
     },
 }
 
-/// A claim under way.
+/// A claim in progress.
 #[derive(Debug)]
 pub struct Claim {
     pub request: RequestId,
     pub token_epoch: u64,
     pub ballot: Ballot,
     pub replicas: Configuration,
-    /// In the order of the keepers.
+    /// One per replica, in the same order.
     pub answers: Vec<ReplicaAnswer>,
-    /// It is given up then.
+    /// Time at which the claim fails.
     pub deadline: Millis,
-    /// Keepers that have not promised are asked again then.
+    /// Time at which the replicas that have not promised are queried again.
     pub retry_at: Millis,
-    /// Holders up to this ballot have let go.
+    /// All holders up to this ballot have released the session.
     pub released_ballot: Option<Ballot>,
-    /// The holder that was asked to.
+    /// The holder whose release was requested.
     pub release_requested: Option<Holder>,
-    /// The pointer that is being completed, and who has it by now.
+    /// A pointer that is being completed, and the servers that have stored it.
     pub pending_pointer: Option<(Pointer, Vec<u64>)>,
-    /// What was known here of the session before.
+    /// True if the session was already known to this process before the claim.
     pub was_known: bool,
 }
 
-/// What follows from the answers.
+/// Next step of a claim.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// More answers may come.
+    /// Wait for further answers.
     Wait,
-    /// The session is the claimer's, with this journal.
+    /// The claim has succeeded, with this record of the session.
     Won(Box<Promised>),
-    /// The keepers are others by now.
+    /// The session has moved to this configuration of replicas: query those.
     FollowPointer(Configuration),
-    /// They are about to be: that has to be completed first.
+    /// A change of the replicas is incomplete: complete this pointer first.
     CompletePointer(Pointer),
-    /// Somebody else has bid as much: try again under an epoch above this one.
+    /// Another claim has reached this epoch: retry with a higher one.
     RaiseBallot(u64),
-    /// This form host may hold it: ask it to let go.
+    /// This server may hold the session: request its release.
     RequestRelease(Holder),
-    /// It is free in so long at the earliest.
+    /// The session is covered by a lease for at least this time: retry afterwards.
     RetryAfter(Millis),
-    /// So many keepers have no vote that there is no majority any more.
+    /// Too many replicas have no vote: a majority is impossible.
     ReplicasLost,
 }
 
 impl Claim {
-    /// Asks these from now on.
+    /// Starts over with these replicas.
     pub fn query(&mut self, replicas: Configuration) {
         self.answers = vec![ReplicaAnswer::Pending; replicas.members.len()];
         self.replicas = replicas;
         self.pending_pointer = None;
     }
 
-    /// Asks all of them again, under another ballot.
+    /// Starts over with the same replicas and a higher ballot.
     pub fn raise_ballot(&mut self, epoch: u64) {
         self.ballot = Ballot { epoch, attempt: 0 };
         let replicas = std::mem::take(&mut self.replicas);
         self.query(replicas);
     }
 
-    /// Asks those again that have not promised and might.
+    /// Marks the replicas that have refused as unanswered, so that they are queried again.
     pub fn retry_refused(&mut self) {
         for answer in &mut self.answers {
             if matches!(answer, ReplicaAnswer::HigherBallot(_) | ReplicaAnswer::Leased { .. }) {
@@ -93,13 +93,13 @@
         }
     }
 
-    /// Where the answer of this form host stands.
+    /// Returns the answer of this server.
     pub fn answer_of(&mut self, server: u64) -> Option<&mut ReplicaAnswer> {
-        let at = self.replicas.members.iter().position(|m| m.server == server)?;
-        self.answers.get_mut(at)
+        let index = self.replicas.members.iter().position(|m| m.server == server)?;
+        self.answers.get_mut(index)
     }
 
-    /// Tells what follows from the answers so far.
+    /// Determines the next step from the answers so far.
     pub fn next_step(&self) -> Step {
         let majority = self.replicas.majority();
         let promised: Vec<&Promised> = self
@@ -111,7 +111,7 @@
             return self.decide_by_majority(&promised);
         }
         let pending = self.answers.iter().filter(|a| matches!(a, ReplicaAnswer::Pending)).count();
-        // A keeper that is gone never answers: what others refuse has to be mended without it.
+        // An unreachable replica never answers, so refusals must be resolved without waiting for it.
         let refused =
             |a: &ReplicaAnswer| matches!(a, ReplicaAnswer::HigherBallot(_) | ReplicaAnswer::Leased { .. });
         let majority_possible = promised.len() + pending >= majority;
@@ -135,14 +135,15 @@
                 _ => None,
             })
             .collect();
-        // A holder that a later claim has passed over has let go already, or will not be asked here.
+        // A holder below the highest promised ballot has released the session already, or is not to be asked
+        // by this claim.
         let highest_promised = leased.iter().map(|(_, _, promised)| *promised).max();
         let holder = leased.iter().filter_map(|(_, holder, _)| *holder).max_by_key(|h| h.ballot);
         match holder.filter(|h| Some(h.ballot) == highest_promised) {
             Some(holder) if self.release_requested != Some(holder) => return Step::RequestRelease(holder),
             _ => {}
         }
-        // So many more are needed; those whose lease ends first are the first to give in.
+        // This many further promises are needed. The leases that end first provide them.
         let missing = majority - promised.len();
         let mut remaining: Vec<_> = leased.iter().map(|(remaining, ..)| *remaining).collect();
         remaining.sort_by(f64::total_cmp);
@@ -153,15 +154,15 @@
         }
     }
 
-    /// A majority has promised.
+    /// Determines the next step after a majority has promised the claim.
     fn decide_by_majority(&self, promised: &[&Promised]) -> Step {
         let number = self.replicas.number;
         let latest =
             promised.iter().max_by_key(|p| (p.written, p.journal.upto)).expect("there is a majority");
-        // A keeper that is one of the later ones too may have been written to as such, which nobody does
-        // before the pointer is at a majority here.
+        // A replica that is also a member of a later configuration may store a record written under that
+        // configuration. Such a record is only written after a majority here has stored the pointer.
         let reconfigured = promised.iter().any(|p| p.configuration > number);
-        // Else one that a later journal here has passed over was never completed.
+        // Otherwise, a pointer older than the latest journal was never completed.
         let pointer = promised
             .iter()
             .flat_map(|p| &p.pointers)
@@ -230,76 +231,94 @@
     }
 
     #[test]
-    fn the_journal_of_the_highest_ballot_wins_and_of_these_the_longest() {
-        let three =
+    fn the_record_with_the_highest_ballot_and_then_the_longest_journal_wins() {
+        let two_promises =
             || [promised(ballot(4, 1), 90, &[]), promised(ballot(5, 1), 10, &[]), ReplicaAnswer::Pending];
-        assert_eq!(won(claim(three()).next_step()), (ballot(5, 1), 10));
-        let mut all = three();
+        assert_eq!(won(claim(two_promises()).next_step()), (ballot(5, 1), 10));
+        let mut all = two_promises();
         all[2] = promised(ballot(5, 1), 12, &[]);
         assert_eq!(won(claim(all).next_step()), (ballot(5, 1), 12));
     }
 
     #[test]
-    fn no_majority_no_session() {
-        let good = || promised(ballot(5, 1), 1, &[]);
-        assert_eq!(claim([good(), ReplicaAnswer::NoRecord, ReplicaAnswer::Pending]).next_step(), Step::Wait);
+    fn a_claim_without_a_majority_of_promises_never_wins() {
+        let promise = || promised(ballot(5, 1), 1, &[]);
         assert_eq!(
-            claim([good(), ReplicaAnswer::NoRecord, ReplicaAnswer::NoRecord]).next_step(),
+            claim([promise(), ReplicaAnswer::NoRecord, ReplicaAnswer::Pending]).next_step(),
+            Step::Wait
+        );
+        assert_eq!(
+            claim([promise(), ReplicaAnswer::NoRecord, ReplicaAnswer::NoRecord]).next_step(),
             Step::ReplicasLost
         );
         assert_eq!(
-            claim([good(), ReplicaAnswer::NoRecord, ReplicaAnswer::HigherBallot(ballot(8, 0))]).next_step(),
+            claim([promise(), ReplicaAnswer::NoRecord, ReplicaAnswer::HigherBallot(ballot(8, 0))])
+                .next_step(),
             Step::RaiseBallot(8)
         );
         let (a, b) = (leased(300.0, None, ballot(7, 0)), leased(200.0, None, ballot(7, 0)));
-        assert_eq!(claim([good(), a.clone(), b.clone()]).next_step(), Step::RetryAfter(200.0));
+        assert_eq!(claim([promise(), a.clone(), b.clone()]).next_step(), Step::RetryAfter(200.0));
         assert_eq!(claim([a, b, ReplicaAnswer::NoRecord]).next_step(), Step::RetryAfter(300.0));
-        // One is gone and does not answer: the other's word must not be waited out.
+        // One replica is unreachable: the refusal of another must be acted on without waiting for it.
         let higher_epoch = ReplicaAnswer::HigherBallot(ballot(8, 0));
-        assert_eq!(claim([good(), higher_epoch, ReplicaAnswer::Pending]).next_step(), Step::RaiseBallot(8));
+        assert_eq!(
+            claim([promise(), higher_epoch, ReplicaAnswer::Pending]).next_step(),
+            Step::RaiseBallot(8)
+        );
         let leased = leased(200.0, None, ballot(7, 0));
-        assert_eq!(claim([good(), leased, ReplicaAnswer::Pending]).next_step(), Step::RetryAfter(200.0));
+        assert_eq!(claim([promise(), leased, ReplicaAnswer::Pending]).next_step(), Step::RetryAfter(200.0));
     }
 
     #[test]
-    fn a_holder_is_asked_to_let_go_once_and_not_if_a_later_claim_has_passed_it_over() {
-        let held = || leased(1_000.0, Some(ballot(5, 1)), ballot(5, 1));
-        let mut asking = claim([held(), held(), ReplicaAnswer::Pending]);
-        asking.answers[2] = held();
-        let Step::RequestRelease(holder) = asking.next_step() else { panic!("{:?}", asking.next_step()) };
+    fn a_holder_is_asked_to_release_once_and_not_if_a_later_claim_was_promised() {
+        let leased_by_holder = || leased(1_000.0, Some(ballot(5, 1)), ballot(5, 1));
+        let mut holder_known = claim([leased_by_holder(), leased_by_holder(), ReplicaAnswer::Pending]);
+        holder_known.answers[2] = leased_by_holder();
+        let Step::RequestRelease(holder) = holder_known.next_step() else {
+            panic!("{:?}", holder_known.next_step())
+        };
         assert_eq!((holder.server, holder.ballot), (9, ballot(5, 1)));
-        asking.release_requested = Some(holder);
-        assert_eq!(asking.next_step(), Step::RetryAfter(1_000.0));
-        let passed_over =
-            claim([held(), leased(500.0, None, ballot(6, 0)), leased(500.0, None, ballot(6, 0))]);
-        assert_eq!(passed_over.next_step(), Step::RetryAfter(500.0));
+        holder_known.release_requested = Some(holder);
+        assert_eq!(holder_known.next_step(), Step::RetryAfter(1_000.0));
+        let claimed_later =
+            claim([leased_by_holder(), leased(500.0, None, ballot(6, 0)), leased(500.0, None, ballot(6, 0))]);
+        assert_eq!(claimed_later.next_step(), Step::RetryAfter(500.0));
     }
 
     #[test]
-    fn a_pointer_is_followed_once_a_majority_has_it_and_passed_over_if_it_is_older_than_a_journal() {
-        let to = || replicas(2, &[1, 2, 4]);
-        let pointed = || promised(ballot(5, 1), 1, &[(ballot(5, 1), to())]);
-        let plain = || promised(ballot(5, 1), 1, &[]);
+    fn a_pointer_is_followed_once_a_majority_has_it_and_ignored_if_older_than_a_journal() {
+        let target = || replicas(2, &[1, 2, 4]);
+        let with_pointer = || promised(ballot(5, 1), 1, &[(ballot(5, 1), target())]);
+        let without_pointer = || promised(ballot(5, 1), 1, &[]);
         assert_eq!(
-            claim([pointed(), pointed(), ReplicaAnswer::Pending]).next_step(),
-            Step::FollowPointer(to())
+            claim([with_pointer(), with_pointer(), ReplicaAnswer::Pending]).next_step(),
+            Step::FollowPointer(target())
         );
-        let mend = claim([pointed(), plain(), ReplicaAnswer::Pending]).next_step();
-        assert_eq!(mend, Step::CompletePointer(Pointer { ballot: ballot(5, 1), to: to() }));
+        let step = claim([with_pointer(), without_pointer(), ReplicaAnswer::Pending]).next_step();
+        assert_eq!(step, Step::CompletePointer(Pointer { ballot: ballot(5, 1), to: target() }));
         let later = promised(ballot(5, 2), 1, &[]);
-        assert_eq!(won(claim([pointed(), later, ReplicaAnswer::Pending]).next_step()), (ballot(5, 2), 1));
-        // One that was written to as one of the later ones tells that the pointer was completed.
-        let mut written = promised(ballot(5, 4), 9, &[(ballot(5, 1), to())]);
+        assert_eq!(
+            won(claim([with_pointer(), later, ReplicaAnswer::Pending]).next_step()),
+            (ballot(5, 2), 1)
+        );
+        // A record written under the later configuration shows that the pointer was completed.
+        let mut written = promised(ballot(5, 4), 9, &[(ballot(5, 1), target())]);
         if let ReplicaAnswer::Promised(record) = &mut written {
             record.configuration = 2;
         }
-        assert_eq!(claim([written, plain(), ReplicaAnswer::Pending]).next_step(), Step::FollowPointer(to()));
-        // The way leads from one to the next, none left out.
-        let both = [(ballot(5, 1), to()), (ballot(5, 1), replicas(3, &[4, 5, 6]))];
+        assert_eq!(
+            claim([written, without_pointer(), ReplicaAnswer::Pending]).next_step(),
+            Step::FollowPointer(target())
+        );
+        // Pointers are followed one configuration at a time.
+        let both = [(ballot(5, 1), target()), (ballot(5, 1), replicas(3, &[4, 5, 6]))];
         let both = || promised(ballot(5, 1), 1, &both);
-        assert_eq!(claim([both(), both(), ReplicaAnswer::Pending]).next_step(), Step::FollowPointer(to()));
-        let mut following = claim([both(), both(), plain()]);
-        following.replicas = replicas(2, &[1, 2, 4]);
-        assert_eq!(following.next_step(), Step::FollowPointer(replicas(3, &[4, 5, 6])));
+        assert_eq!(
+            claim([both(), both(), ReplicaAnswer::Pending]).next_step(),
+            Step::FollowPointer(target())
+        );
+        let mut in_second = claim([both(), both(), without_pointer()]);
+        in_second.replicas = replicas(2, &[1, 2, 4]);
+        assert_eq!(in_second.next_step(), Step::FollowPointer(replicas(3, &[4, 5, 6])));
     }
 }
--- a/sessions/src/journal.rs
+++ b/sessions/src/journal.rs
@@ -1,13 +1,13 @@
-//! What a session has saved.
+//! The saved fields of a session.
 
 use marllink_lease_protocol as lease_protocol;
 use std::collections::BTreeMap;
 
-/// Room that a field takes besides its name and its value, in bytes.
+/// Size accounted for a field in addition to its name and value, in bytes.
 const FIELD_OVERHEAD_BYTES: usize = 32;
 
-/// What the saves of a session come to: each field as it was saved last. A field that is saved a
-/// thousand times takes the room of one.
+/// Combined result of the saves of a session: the last value of each field. A field that is saved a thousand
+/// times takes the space of one.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Journal {
     upto: u64,
@@ -15,33 +15,33 @@
     bytes: usize,
 }
 
-/// A save was not taken.
+/// Reason why a save was not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SaveError {
-    /// It is in the journal already.
+    /// The journal already includes it.
     Duplicate,
-    /// One before it is missing.
+    /// An earlier save is missing.
     Gap,
-    /// There would be more in it than the bound, in bytes.
+    /// The journal would exceed its maximum size.
     Full,
 }
 
 impl Journal {
-    /// The number of the last save.
+    /// Returns the number of the last save.
     pub fn upto(&self) -> u64 {
         self.upto
     }
 
-    /// Room that it takes, in bytes.
+    /// Returns the accounted size, in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Takes the next save, unless there would be more than `bound` bytes in it. A save that makes
-    /// the journal smaller is taken whatever the bound.
+    /// Applies the next save, unless the journal would exceed `max_bytes`. A save that shrinks the journal is
+    /// always accepted.
     ///
     /// # Errors
-    /// Tells why the save was not taken; nothing has changed then.
+    /// Returns the reason why the save was not accepted. The journal is unchanged then.
     pub fn save(&mut self, field: &lease_protocol::Field, max_bytes: usize) -> Result<(), SaveError> {
         if field.n <= self.upto {
             return Err(SaveError::Duplicate);
@@ -49,9 +49,10 @@
         if field.n != self.upto + 1 {
             return Err(SaveError::Gap);
         }
-        let cost = |name: &str, value: &[u8]| name.len() + value.len() + FIELD_OVERHEAD_BYTES;
-        let before = self.fields.get(&field.name).map_or(0, |(_, value)| cost(&field.name, value));
-        let bytes = self.bytes - before + cost(&field.name, &field.value);
+        let size_bytes = |name: &str, value: &[u8]| name.len() + value.len() + FIELD_OVERHEAD_BYTES;
+        let bytes_before =
+            self.fields.get(&field.name).map_or(0, |(_, value)| size_bytes(&field.name, value));
+        let bytes = self.bytes - bytes_before + size_bytes(&field.name, &field.value);
         if bytes > max_bytes && bytes > self.bytes {
             return Err(SaveError::Full);
         }
@@ -61,7 +62,7 @@
         Ok(())
     }
 
-    /// As keepers are told it.
+    /// Returns the journal as a message for the replicas.
     pub fn to_message(&self) -> lease_protocol::Journal {
         let field = |(name, (n, value)): (&String, &(u64, Vec<u8>))| lease_protocol::Field {
             name: name.clone(),
@@ -71,7 +72,7 @@
         lease_protocol::Journal { upto: self.upto, fields: self.fields.iter().map(field).collect() }
     }
 
-    /// The fields, in the order in which they were saved.
+    /// Returns the fields in the order in which they were last saved.
     pub fn fields_in_save_order(&self) -> Vec<(u64, &str, &[u8])> {
         let mut fields: Vec<_> =
             self.fields.iter().map(|(name, (n, value))| (*n, name.as_str(), value.as_slice())).collect();
@@ -100,7 +101,7 @@
     }
 
     #[test]
-    fn only_the_next_save_is_taken_and_the_last_of_each_field_stays() {
+    fn only_consecutive_saves_are_accepted_and_the_last_value_of_each_field_remains() {
         let mut journal = Journal::default();
         let max_bytes = 10_000;
         assert_eq!(journal.save(&field(2, "a", "x"), max_bytes), Err(SaveError::Gap));
@@ -117,13 +118,13 @@
     }
 
     #[test]
-    fn at_its_bound_it_takes_only_what_makes_it_smaller() {
+    fn a_full_journal_accepts_only_saves_that_shrink_it() {
         let mut journal = Journal::default();
         assert_eq!(journal.save(&field(1, "a", &"x".repeat(60)), 100), Ok(()));
         let before = journal.clone();
         assert_eq!(journal.save(&field(2, "b", "y"), 100), Err(SaveError::Full));
         assert_eq!(journal, before);
-        // The bound was lowered meanwhile.
+        // The maximum size was lowered in the meantime.
         assert_eq!(journal.save(&field(2, "a", &"x".repeat(61)), 50), Err(SaveError::Full));
         assert_eq!(journal.save(&field(2, "a", &"x".repeat(50)), 50), Ok(()));
         assert_eq!(journal.upto(), 2);
--- a/sessions/src/lib.rs
+++ b/sessions/src/lib.rs
@@ -1,9 +1,9 @@
-//! Sessions that outlive the form host that holds them: the decisions of an owner, without I/O and
-//! without a clock. `docs/design/resume.md` tells what is promised and why it holds.
+//! Resumable sessions, which survive the loss of the server that holds them: the decisions of the owner
+//! process, without I/O and without a clock. `docs/design/resume.md` describes the guarantees and why they
+//! hold.
 //!
-//! One [`Sessions`] serves one balancer process. The node feeds [`Event`]s and carries out [`Command`]s
-//! in the order written; see [`Sessions`] for the order in which to call what. Tokens are sealed and
-//! opened by a [`KeyRing`].
+//! Each balancer process has one [`Sessions`]. The node feeds it [`Event`]s and carries out the [`Command`]s
+//! in order; [`Sessions`] documents the expected order of calls. A [`KeyRing`] seals and opens tokens.
 
 mod claim;
 mod interface;
--- a/sessions/src/placement.rs
+++ b/sessions/src/placement.rs
@@ -1,20 +1,20 @@
-//! Who keeps a session: rendezvous hashing (Thaler and Ravishankar, "Using name-based mappings to
-//! increase hit rates", 1998), spread over the zones.
+//! Selection of the replicas of a session: rendezvous hashing (Thaler and Ravishankar, "Using name-based
+//! mappings to increase hit rates", 1998), spread over the zones.
 
 use marllink::{ServerId, ZoneId};
 use marllink_lease_protocol::SessionId;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// A form host that may keep.
+/// A server that may become a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// Which.
+    /// The server.
     pub server: ServerId,
-    /// Where it is.
+    /// Its zone.
     pub zone: ZoneId,
 }
 
-/// How much a form host is the one for a session: the highest are its keepers.
+/// Returns the hash that ranks a server for a session: the servers with the highest values are selected.
 fn score(session: SessionId, server: ServerId) -> u64 {
     let mut bytes = [0; 16];
     bytes[..8].copy_from_slice(&session.hi.to_le_bytes());
@@ -22,36 +22,43 @@
     xxh3_64_with_seed(&bytes, server.0)
 }
 
-/// Chooses `count` of the candidates, those of `stay` among them first and `but` last of all. No zone
-/// has more than its part of them, if there are enough elsewhere.
+/// Selects `count` candidates: those in `preferred` come first and `avoided` last. No zone has more than its
+/// share if other zones have enough candidates.
 pub fn choose(
     session: SessionId,
     candidates: &[Candidate],
     count: usize,
-    stay: &[ServerId],
-    but: Option<ServerId>,
+    preferred: &[ServerId],
+    avoided: Option<ServerId>,
 ) -> Vec<ServerId> {
     let mut ranked: Vec<_> = candidates.to_vec();
     ranked.sort_by_cached_key(|c| {
-        (Some(c.server) == but, !stay.contains(&c.server), std::cmp::Reverse(score(session, c.server)))
+        (
+            Some(c.server) == avoided,
+            !preferred.contains(&c.server),
+            std::cmp::Reverse(score(session, c.server)),
+        )
     });
-    let mut zones: Vec<_> = ranked.iter().filter(|c| Some(c.server) != but).map(|c| c.zone).collect();
+    let mut zones: Vec<_> = ranked.iter().filter(|c| Some(c.server) != avoided).map(|c| c.zone).collect();
     zones.sort_unstable();
     zones.dedup();
-    let part = count.div_ceil(zones.len().max(1));
-    let (mut chosen, mut left) = (Vec::with_capacity(count), Vec::new());
+    let max_per_zone = count.div_ceil(zones.len().max(1));
+    let (mut chosen, mut rest) = (Vec::with_capacity(count), Vec::new());
     for candidate in ranked {
-        let there = chosen.iter().filter(|c: &&Candidate| c.zone == candidate.zone).count();
-        // One that stays has the journal already, which is worth more than an even spread.
-        let stays = stay.contains(&candidate.server) && Some(candidate.server) != but;
-        if chosen.len() < count && (there < part || stays) && Some(candidate.server) != but {
+        let in_zone = chosen.iter().filter(|c: &&Candidate| c.zone == candidate.zone).count();
+        // A preferred server has the journal already, which outweighs an even spread.
+        let is_preferred = preferred.contains(&candidate.server) && Some(candidate.server) != avoided;
+        if chosen.len() < count
+            && (in_zone < max_per_zone || is_preferred)
+            && Some(candidate.server) != avoided
+        {
             chosen.push(candidate);
         } else {
-            left.push(candidate);
+            rest.push(candidate);
         }
     }
     let missing = count.saturating_sub(chosen.len());
-    chosen.extend(left.into_iter().take(missing));
+    chosen.extend(rest.into_iter().take(missing));
     chosen.into_iter().map(|c| c.server).collect()
 }
 
@@ -59,7 +66,7 @@
 mod tests {
     use super::*;
 
-    fn hosts(count: u64, zones: u8) -> Vec<Candidate> {
+    fn candidates(count: u64, zones: u8) -> Vec<Candidate> {
         (0..count).map(|n| Candidate { server: ServerId(n), zone: ZoneId(n as u8 % zones) }).collect()
     }
 
@@ -68,13 +75,13 @@
     }
 
     #[test]
-    fn every_host_keeps_its_part_and_only_those_of_a_lost_one_move() {
-        let all = hosts(12, 1);
-        let mut kept = [0; 12];
+    fn sessions_are_spread_evenly_and_only_those_of_a_lost_server_move() {
+        let all = candidates(12, 1);
+        let mut sessions_per_server = [0; 12];
         let mut moved = 0;
         for n in 0..4_000 {
             let before = choose(session(n), &all, 3, &[], None);
-            before.iter().for_each(|s| kept[s.0 as usize] += 1);
+            before.iter().for_each(|s| sessions_per_server[s.0 as usize] += 1);
             let after = choose(session(n), &all[1..], 3, &[], None);
             moved += after.iter().filter(|s| !before.contains(s)).count();
             assert_eq!(
@@ -82,25 +89,29 @@
                 if before.contains(&ServerId(0)) { 2 } else { 3 }
             );
         }
-        // 1,000 each on the mean; a standard deviation is about 27.
-        assert!(kept.iter().all(|k| (880..1_120).contains(k)), "{kept:?}");
-        assert_eq!(moved, kept[0]);
+        // 1,000 each on average, with a standard deviation of about 27.
+        assert!(
+            sessions_per_server.iter().all(|count| (880..1_120).contains(count)),
+            "{sessions_per_server:?}"
+        );
+        assert_eq!(moved, sessions_per_server[0]);
     }
 
     #[test]
-    fn no_zone_has_all_where_there_are_two_and_the_holder_is_none_of_them() {
+    fn no_zone_has_all_replicas_if_there_are_two_zones_and_the_holder_is_avoided() {
         for n in 0..200 {
-            let chosen = choose(session(n), &hosts(12, 2), 3, &[], Some(ServerId(n % 12)));
-            let there = chosen.iter().filter(|s| s.0 % 2 == 0).count();
-            assert!((1..=2).contains(&there) && chosen.len() == 3);
+            let chosen = choose(session(n), &candidates(12, 2), 3, &[], Some(ServerId(n % 12)));
+            let in_zone = chosen.iter().filter(|s| s.0 % 2 == 0).count();
+            assert!((1..=2).contains(&in_zone) && chosen.len() == 3);
             assert!(!chosen.contains(&ServerId(n % 12)));
-            // Those that stay do, whatever the spread.
-            let stay = [ServerId(0), ServerId(2), ServerId(4)];
-            let chosen = choose(session(n), &hosts(12, 2), 3, &stay, None);
-            assert!(stay.iter().all(|s| chosen.contains(s)));
+            // Preferred servers are selected regardless of the spread.
+            let preferred = [ServerId(0), ServerId(2), ServerId(4)];
+            let chosen = choose(session(n), &candidates(12, 2), 3, &preferred, None);
+            assert!(preferred.iter().all(|s| chosen.contains(s)));
         }
-        // With too few there are fewer, and the holder itself before none.
-        assert_eq!(choose(session(1), &hosts(1, 1), 3, &[], Some(ServerId(0))), [ServerId(0)]);
-        assert_eq!(choose(session(1), &hosts(2, 1), 1, &[], Some(ServerId(0))), [ServerId(1)]);
+        // With too few candidates, fewer are selected. The holder is selected only if it is the only
+        // candidate.
+        assert_eq!(choose(session(1), &candidates(1, 1), 3, &[], Some(ServerId(0))), [ServerId(0)]);
+        assert_eq!(choose(session(1), &candidates(2, 1), 1, &[], Some(ServerId(0))), [ServerId(1)]);
     }
 }
--- a/sessions/src/session.rs
+++ b/sessions/src/session.rs
@@ -1,4 +1,4 @@
-//! A session as its owner sees it, and what its keepers have been seen to store.
+//! A session from its owner's point of view, and the known state of its replicas.
 
 use crate::claim::Claim;
 use crate::journal::Journal;
@@ -6,93 +6,93 @@
 use marllink_lease_protocol::{Ballot, Configuration, Field, Member, SessionId};
 use std::collections::VecDeque;
 
-/// Where a session is in its life here.
+/// Phase of a session in this process.
 #[derive(Debug)]
 pub enum State {
-    /// Its keepers are asked for it.
+    /// A claim on it is in progress.
     Claiming(Box<Claim>),
-    /// The decisions look for a form host.
+    /// It is claimed, and the balancer is selecting a server for its request.
     Claimed,
-    /// An attempt is out.
+    /// An attempt at a server is in progress.
     Attempting,
-    /// Its connection stands.
+    /// Its connection is established.
     Established,
-    /// The connection's client has gone; its form host may still hold the session.
+    /// Its connection is closing, and the server may still hold it.
     Closing,
-    /// Nobody holds it. The last owner takes care of its keepers.
+    /// No server holds it. The last owner maintains its replicas.
     Detached,
 }
 
-/// What a keeper has been seen to store.
+/// State of a replica, as far as its replies have shown.
 #[derive(Clone, Debug)]
 pub struct ReplicaState {
-    /// Whose it is.
+    /// The replica.
     pub member: Member,
-    /// The generation of its link under which the record was written there, and since when no lease
-    /// has lapsed if that is still the link's.
+    /// Lease generation of the link under which the record was written there. While this is the link's
+    /// current generation, no lease has lapsed since.
     pub written_generation: Option<u32>,
-    /// The same, under way.
+    /// Lease generation of a write that is in progress.
     pub pending_generation: Option<u32>,
-    /// It has all saves up to this one.
+    /// Number of the last save that it has stored, along with all earlier ones.
     pub upto: u64,
-    /// It has the pointer to the next configuration.
+    /// True if it has stored the pointer to the next configuration.
     pub has_pointer: bool,
 }
 
 impl ReplicaState {
-    /// Of a keeper that stores nothing yet.
+    /// Creates the state of a replica that has stored nothing yet.
     pub fn new(member: Member) -> Self {
         Self { member, written_generation: None, pending_generation: None, upto: 0, has_pointer: false }
     }
 }
 
-/// A session here.
+/// A session known to this process.
 #[derive(Debug)]
 pub struct Session {
     pub id: SessionId,
     pub state: State,
-    /// Its connection, while it has one.
+    /// Request of its connection or claim, if any.
     pub request: Option<RequestId>,
-    /// When that was asked for.
+    /// Time of that request.
     pub requested_at: Millis,
     pub ballot: Ballot,
-    /// The epoch that its client has confirmed.
+    /// Epoch that the client has confirmed.
     pub confirmed_epoch: u64,
     pub replicas: Configuration,
-    /// The configuration that is to follow.
+    /// The next configuration, while the replicas are being changed.
     pub next_replicas: Option<Configuration>,
-    /// The pointers to that are under way.
+    /// True once the pointers to the next configuration have been sent.
     pub pointers_sent: bool,
-    /// Of every member of both.
+    /// State of each member of the current and the next configuration.
     pub replica_states: Vec<ReplicaState>,
     pub journal: Journal,
-    /// Saves in the journal that the holder has not been given, the oldest first.
+    /// Saves that have not been sent to the holder yet, oldest first.
     pub unsent_saves: VecDeque<Field>,
-    /// The holder has been given all saves up to this one ...
+    /// Number of the last save sent to the holder.
     pub sent_upto: u64,
-    /// ... and has applied all up to this one.
+    /// Number of the last save that the holder has applied.
     pub applied_upto: u64,
-    /// The form host of the attempt that is out or stands.
+    /// Server of the current attempt or connection.
     pub holder: Option<ServerId>,
-    /// It has asked for a lease by this number and had no answer yet.
+    /// Number of the holder's lease request that is not answered yet.
     pub lease_request: Option<u64>,
-    /// It has had one.
+    /// True once the holder has been granted a lease.
     pub has_lease: bool,
-    /// It lets go by then at the latest, on this clock.
+    /// Time, on this clock, by which the holder's lease has ended.
     pub hold_until: Millis,
-    /// The client gets a token then.
+    /// Time at which the client receives its next token.
     pub next_token_at: Millis,
-    /// The last token expires then.
+    /// Expiry time of the last token.
     pub token_expires_at: Millis,
-    /// Another connection that waits for this one's end: its request, the epoch of its token, and
-    /// until when it waits.
+    /// Another connection that takes the session over once this one has ended: its request, the epoch of its
+    /// token, and the time until which it waits.
     pub pending_takeover: Option<(RequestId, u64, Millis)>,
-    /// The process that passed it on, until the keepers know of that.
+    /// The process that handed the session over, until the replicas have learned of that; 0 for none.
     pub previous_owner: u64,
 }
 
 impl Session {
-    /// One that nothing is known of yet.
+    /// Creates a session without a record.
     pub fn new(id: SessionId, state: State, request: Option<RequestId>, now: Millis) -> Self {
         Self {
             id,
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Goes over to another ballot: nothing has been stored under that yet.
+    /// Switches to another ballot, under which the replicas have stored nothing yet.
     pub fn set_ballot(&mut self, ballot: Ballot) {
         self.ballot = ballot;
         self.previous_owner = 0;
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Is kept by these from now on, with nothing stored yet.
+    /// Sets the replicas, none of which has stored anything yet.
     pub fn set_replicas(&mut self, replicas: Configuration) {
         self.replica_states = replicas.members.iter().copied().map(ReplicaState::new).collect();
         self.next_replicas = None;
@@ -138,13 +138,13 @@
         self.replicas = replicas;
     }
 
-    /// The vote of the keeper at this form host.
+    /// Returns the state of the replica at this server.
     pub fn replica_state(&mut self, server: u64) -> Option<&mut ReplicaState> {
         self.replica_states.iter_mut().find(|r| r.member.server == server)
     }
 
-    /// What a majority of the keepers has at least, and while they change a majority of both: `of` tells
-    /// it for one of them.
+    /// Returns the highest value that a majority of the replicas reaches; while the replicas are being
+    /// changed, a majority of both configurations. `value` returns the value of one replica.
     pub fn quorum_value<T: PartialOrd + Copy>(&self, default: T, value: impl Fn(&ReplicaState) -> T) -> T {
         let majority = |replicas: &Configuration| {
             let value_at =
@@ -160,17 +160,17 @@
         }
     }
 
-    /// The last save that outlives the loss of a minority of the keepers.
+    /// Returns the number of the last save that survives the loss of any minority of the replicas.
     pub fn durable_upto(&self) -> u64 {
         self.quorum_value(0, |r| r.upto)
     }
 
-    /// True while a form host holds it or may soon.
+    /// Returns true while a server holds the session or may do so.
     pub fn may_be_held(&self) -> bool {
         matches!(self.state, State::Attempting | State::Established | State::Closing)
     }
 
-    /// True if another process could go on with it from here.
+    /// Returns true if no operation is in progress, so that the session can be handed over.
     pub fn is_idle(&self) -> bool {
         let last = self.journal.upto();
         matches!(self.state, State::Established)
@@ -188,22 +188,23 @@
     use super::*;
 
     #[test]
-    fn a_quorum_is_a_majority_and_of_both_while_keepers_change() {
+    fn a_save_is_durable_only_at_a_majority_of_both_configurations_during_a_change() {
         let member = |n: u64| Member { server: n, incarnation: 1 };
-        let replicas = |number, of: [u64; 3]| Configuration { number, members: of.map(member).into() };
+        let replicas =
+            |number, servers: [u64; 3]| Configuration { number, members: servers.map(member).into() };
         let mut session = Session::new(SessionId::default(), State::Established, None, 0.0);
         session.set_replicas(replicas(1, [1, 2, 3]));
         for (server, upto) in [(1, 9), (2, 7), (3, 4)] {
-            session.replica_state(server).expect("it is one").upto = upto;
+            session.replica_state(server).expect("the server is a replica").upto = upto;
         }
         assert_eq!(session.durable_upto(), 7);
         session.replica_states.push(ReplicaState::new(member(4)));
         session.next_replicas = Some(replicas(2, [1, 3, 4]));
         assert_eq!(session.durable_upto(), 4);
-        session.replica_state(4).expect("it is one").upto = 8;
+        session.replica_state(4).expect("the server is a replica").upto = 8;
         assert_eq!(session.durable_upto(), 7, "the old ones hold it back");
         session.set_replicas(Configuration { number: 3, members: vec![member(1)] });
-        session.replica_state(1).expect("it is one").upto = 5;
+        session.replica_state(1).expect("the server is a replica").upto = 5;
         assert_eq!(session.durable_upto(), 5);
     }
 }
--- a/sessions/src/state_machine.rs
+++ b/sessions/src/state_machine.rs
@@ -1,5 +1,5 @@
-//! The machine: takes events, gives commands. What it decides about each matter lies in a file of
-//! its own: `claiming`, `holding` and `keeping`.
+//! The state machine: takes events and emits commands. `claims` contains the claims on sessions, `lifecycle`
+//! the sessions with a server, and `replication` the links, leases and lease replicas.
 
 mod claims;
 mod lifecycle;
@@ -18,58 +18,60 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::collections::VecDeque;
 
-/// The sessions that one balancer process owns.
+/// The sessions of one balancer process, their owner.
 ///
-/// In what order to call what:
+/// Expected order of calls:
 ///
-/// 1. [`new`](Self::new), then [`Event::Servers`] with the form hosts that are known, and again whenever
-///    that changes.
-/// 2. Each [`Command::OpenLink`] is answered by [`Event::LinkUp`] or [`Event::LinkDown`]; after an up there is
-///    one down, sooner or later. In between, [`Command::Call`]s are said in order, and each reply is fed as
-///    [`Event::ReplyReceived`].
-/// 3. A request: [`Event::SessionRequested`], and once it may [proceed](Command::Proceed), for each attempt
-///    [`Event::AttemptStarted`], the host's [`Event::LeaseRequested`] and, if it stands, [`Event::AttemptEstablished`]; then the
-///    client's and the host's lines. Each attempt ends in one [`Event::AttemptEnded`], the request in one
-///    [`Event::RequestClosed`], in whichever order that happens.
+/// 1. [`new`](Self::new), then [`Event::Servers`] with the list of servers, and again whenever the list
+///    changes.
+/// 2. Each [`Command::OpenLink`] is answered by [`Event::LinkUp`] or [`Event::LinkDown`], and each
+///    [`Event::LinkUp`] is eventually followed by one [`Event::LinkDown`]. In between, each [`Command::Call`]
+///    is sent in order, and each reply is fed as [`Event::ReplyReceived`].
+/// 3. For a request: [`Event::SessionRequested`]. Once the request may [proceed](Command::Proceed), for each
+///    attempt [`Event::AttemptStarted`], the server's [`Event::LeaseRequested`] and, if the connection is
+///    established, [`Event::AttemptEstablished`], followed by the events for the lines of the client and the
+///    server. Each attempt ends with one [`Event::AttemptEnded`] and the request with one
+///    [`Event::RequestClosed`], in either order.
 /// 4. [`Command::SetTimer`] is answered by [`Event::Timer`] once that time has passed.
 ///
-/// Events that make no sense, as of requests that are not known, are passed over.
+/// Events that do not apply, such as those of unknown requests, are ignored.
 #[derive(Debug)]
 pub struct Sessions {
     settings: Settings,
     keys: KeyRing,
-    /// This process, among all that own sessions.
+    /// Number of this process as an owner, drawn at random.
     owner: u64,
-    /// Unix time at this clock's zero, in milliseconds.
+    /// Unix time when this clock is zero, in milliseconds.
     unix_offset_ms: Millis,
     rng: Xoshiro256PlusPlus,
     now: Millis,
     servers: FxHashMap<u64, Server>,
     sessions: FxHashMap<SessionId, Session>,
     requests: FxHashMap<RequestId, SessionId>,
-    /// By the number of a form host: the sessions that it keeps.
+    /// The sessions of which a server is a replica, by the number of the server.
     sessions_by_replica: FxHashMap<u64, FxHashSet<SessionId>>,
-    /// Sessions that are claimed just now.
+    /// Sessions with a claim in progress.
     claiming: FxHashSet<SessionId>,
-    /// Sessions whose holder waits for a lease.
+    /// Sessions whose holder has requested a lease that is not granted yet.
     awaiting_lease: FxHashSet<SessionId>,
-    /// Sessions whose keepers are to be looked at, in turn.
+    /// Sessions whose replicas are to be reviewed, in order.
     review_queue: VecDeque<SessionId>,
     queued_for_review: FxHashSet<SessionId>,
-    /// Of all journals.
+    /// Total size of all journals.
     total_journal_bytes: usize,
     timers: Timers,
 }
 
-/// So many sessions' keepers are looked at in one go ...
-const REVIEW_BATCH_COUNT: usize = 64;
-/// ... with such a pause in between, in ms: others' saves must not wait for it.
+/// Maximum number of sessions reviewed at a time.
+const REVIEW_BATCH_SIZE: usize = 64;
+/// Pause between two batches of reviews, in milliseconds, so that the saves of other sessions are not
+/// delayed.
 const REVIEW_PAUSE_MS: Millis = 5.0;
 
 impl Sessions {
-    /// Sessions of a process that owns none yet. `seed` must differ between processes and starts, as
-    /// session ids and the nonces of tokens are drawn by it; `unix_ms` is the wall clock's time at
-    /// `now`.
+    /// Creates the state machine of a process without sessions. `seed` must differ between processes and
+    /// between starts, as session ids and the nonces of tokens are derived from it. `unix_ms` is the
+    /// wall-clock time at `now`.
     #[must_use]
     pub fn new(settings: Settings, keys: KeyRing, seed: [u8; 32], now: Millis, unix_ms: Millis) -> Self {
         let mut rng = Xoshiro256PlusPlus::from_seed(seed);
@@ -93,7 +95,8 @@
         }
     }
 
-    /// Takes one event at `now`, and appends what is to be done. A clock that steps back stands still.
+    /// Handles one event at time `now` and appends the resulting commands. If the clock steps back, the last
+    /// time applies.
     pub fn handle(&mut self, now: Millis, event: Event, commands: &mut Vec<Command>) {
         self.now = self.now.max(now);
         match event {
@@ -131,39 +134,40 @@
         }
     }
 
-    /// This process's number as an owner, which each link begins with.
+    /// Returns the number of this process as an owner, which is sent first on each link.
     #[must_use]
     pub fn owner(&self) -> u64 {
         self.owner
     }
 
-    /// Until when the form host of this request's attempt may hold the session, on this clock. An attempt
-    /// that its form host does not end is over then, and not before.
+    /// Returns the time, on this clock, until which the server of the request's attempt may hold the session.
+    /// An attempt that its server does not end must be considered ended at this time and not earlier.
     #[must_use]
     pub fn hold_until(&self, request: RequestId) -> Millis {
         self.session_of(request).map_or(0.0, |s| s.hold_until)
     }
 
-    /// True once the form host of this request's attempt has been given a lease.
+    /// Returns true once the server of the request's attempt has been granted a lease.
     #[must_use]
     pub fn has_lease(&self, request: RequestId) -> bool {
         self.session_of(request).is_some_and(|s| s.has_lease)
     }
 
-    /// A form host that takes a session asks for its lease at once: one that has not after so long, in
-    /// ms, is silent, and waiting for it as long as for an answer would only cost the client its time.
+    /// Returns the time within which a server that accepts a session requests its lease, in milliseconds. A
+    /// server that exceeds it is unresponsive: waiting for the whole attempt timeout would only cost the
+    /// client time.
     #[must_use]
     pub fn lease_request_timeout_ms(&self) -> Millis {
         self.settings.lease_ms / 4.0
     }
 
-    /// Under which ballot the form host of this request's attempt is to hold its session.
+    /// Returns the session and ballot under which the server of the request's attempt is to hold the session.
     #[must_use]
     pub fn session_ballot(&self, request: RequestId) -> Option<(SessionId, marllink_lease_protocol::Ballot)> {
         self.session_of(request).filter(|s| s.request == Some(request)).map(|s| (s.id, s.ballot))
     }
 
-    /// Saves of this request that the client may still send before one is confirmed.
+    /// Returns the number of saves that the client of a request may send before earlier ones are confirmed.
     #[must_use]
     pub fn save_capacity(&self, request: RequestId) -> usize {
         self.session_of(request).map_or(usize::MAX, |s| {
@@ -171,30 +175,30 @@
         })
     }
 
-    /// The session of a request, and its claim's epoch: for logs.
+    /// Returns the session of a request and the epoch of its claim, for logs.
     #[must_use]
     pub fn session(&self, request: RequestId) -> Option<(SessionId, u64)> {
         self.session_of(request).map(|s| (s.id, s.ballot.epoch))
     }
 
-    /// How many sessions there are here, and how many of them stand.
+    /// Returns the number of sessions and the number of those with an established connection.
     #[must_use]
     pub fn count(&self) -> (usize, usize) {
-        let standing = self.sessions.values().filter(|s| matches!(s.state, State::Established)).count();
-        (self.sessions.len(), standing)
+        let established = self.sessions.values().filter(|s| matches!(s.state, State::Established)).count();
+        (self.sessions.len(), established)
     }
 
-    /// Bytes in all journals.
+    /// Returns the total size of all journals, in bytes.
     #[must_use]
     pub fn total_journal_bytes(&self) -> usize {
         self.total_journal_bytes
     }
 
-    /// Gives up a session with its connection, for the process that takes this one's place. `None`
-    /// while something of it is under way, or if the request has none.
+    /// Removes an idle session and returns its state for the handover to the successor process. Returns
+    /// `None` if the session has operations in progress or the request has no session.
     pub fn hand_over(&mut self, request: RequestId) -> Option<SessionHandover> {
         let session = self.session_of(request).filter(|s| s.is_idle() && s.hold_until > self.now)?;
-        let passed = SessionHandover {
+        let handover = SessionHandover {
             session: session.id,
             ballot: session.ballot,
             confirmed_epoch: session.confirmed_epoch,
@@ -205,10 +209,10 @@
         };
         let id = session.id;
         self.remove(id);
-        Some(passed)
+        Some(handover)
     }
 
-    /// True if the request has a session that could not be passed on as of now.
+    /// Returns true if the request has a session that cannot be handed over at the moment.
     #[must_use]
     pub fn is_busy(&self, request: RequestId) -> bool {
         self.session_of(request).is_some_and(|s| !s.is_idle() || s.hold_until <= self.now)
@@ -230,7 +234,7 @@
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Enters a session, and what it is found by.
+    /// Adds a session to the table and the indexes.
     fn insert(&mut self, session: Session) {
         let id = session.id;
         if let Some(request) = session.request {
@@ -244,7 +248,7 @@
         }
     }
 
-    /// Takes a session out of everything that it is found by.
+    /// Removes a session from the table and the indexes.
     fn remove(&mut self, id: SessionId) -> Option<Session> {
         let session = self.sessions.remove(&id)?;
         for replica in &session.replica_states {
@@ -264,21 +268,22 @@
     }
 
     fn remove_from_replica(&mut self, server: u64, id: SessionId) {
-        if let Some(kept) = self.sessions_by_replica.get_mut(&server) {
-            kept.remove(&id);
-            if kept.is_empty() {
+        if let Some(session_ids) = self.sessions_by_replica.get_mut(&server) {
+            session_ids.remove(&id);
+            if session_ids.is_empty() {
                 self.sessions_by_replica.remove(&server);
             }
         }
     }
 
-    /// Refuses, with some spread so that those refused together do not come again together.
-    fn reply_busy(&mut self, request: RequestId, about_ms: Millis, commands: &mut Vec<Command>) {
-        let retry_after_ms = about_ms * (0.75 + 0.5 * self.random_fraction());
+    /// Rejects a request. The retry delay is randomized so that requests rejected at the same time do not
+    /// retry at the same time.
+    fn reply_busy(&mut self, request: RequestId, delay_ms: Millis, commands: &mut Vec<Command>) {
+        let retry_after_ms = delay_ms * (0.75 + 0.5 * self.random_fraction());
         commands.push(Command::ReplyBusy { request, retry_after_ms });
     }
 
-    /// Says something to each of these that is linked as the member it was.
+    /// Sends a call to each member whose link is up with the same incarnation.
     fn call_members(
         &self,
         members: &[marllink_lease_protocol::Member],
@@ -293,21 +298,21 @@
         }
     }
 
-    /// Form hosts that could keep something new now.
+    /// Returns the servers that can become a replica now.
     fn replica_candidates(&self) -> Vec<Candidate> {
-        let may = |(number, s): (&u64, &Server)| {
+        let candidate = |(number, s): (&u64, &Server)| {
             let zone = s.listed.filter(|l| l.ready)?.zone;
             (s.in_pool && s.has_lease(self.now) && s.full_until <= self.now)
                 .then_some(Candidate { server: ServerId(*number), zone })
         };
-        let mut all: Vec<_> = self.servers.iter().filter_map(may).collect();
-        // The order of a hash table must decide nothing.
-        all.sort_unstable_by_key(|c| c.server);
-        all
+        let mut candidates: Vec<_> = self.servers.iter().filter_map(candidate).collect();
+        // The result must not depend on the order of the hash table.
+        candidates.sort_unstable_by_key(|c| c.server);
+        candidates
     }
 
     fn run_reviews(&mut self, commands: &mut Vec<Command>) {
-        for _ in 0..REVIEW_BATCH_COUNT {
+        for _ in 0..REVIEW_BATCH_SIZE {
             let Some(id) = self.review_queue.pop_front() else { return };
             self.queued_for_review.remove(&id);
             self.maintain_replicas(id, commands);
@@ -315,7 +320,7 @@
         self.timers.set(TimerKey::Review, self.now + REVIEW_PAUSE_MS);
     }
 
-    /// Has the keepers of a session looked at soon.
+    /// Schedules a review of the session's replicas.
     fn queue_review(&mut self, id: SessionId) {
         if self.queued_for_review.insert(id) {
             self.review_queue.push_back(id);
@@ -324,8 +329,9 @@
     }
 
     fn queue_reviews_of(&mut self, server: u64) {
-        let mut kept: Vec<_> = self.sessions_by_replica.get(&server).into_iter().flatten().copied().collect();
-        kept.sort_unstable();
-        kept.into_iter().for_each(|id| self.queue_review(id));
+        let mut session_ids: Vec<_> =
+            self.sessions_by_replica.get(&server).into_iter().flatten().copied().collect();
+        session_ids.sort_unstable();
+        session_ids.into_iter().for_each(|id| self.queue_review(id));
     }
 }
--- a/sessions/src/state_machine/claims.rs
+++ b/sessions/src/state_machine/claims.rs
@@ -1,4 +1,4 @@
-//! A request's way from a token to a session that is its own.
+//! Claims on sessions: from a client's token to ownership of its session.
 
 use super::{Sessions, TimerKey};
 use crate::claim::{Claim, ReplicaAnswer, Step};
@@ -12,16 +12,17 @@
 };
 use rand_xoshiro::rand_core::Rng;
 
-/// Who meets another claim on the same session is told to come again after about so long in ms: the
-/// other has it by then, or has given up.
+/// Approximate retry delay for a client whose session is being claimed by another request, in milliseconds:
+/// by then the other claim has succeeded or timed out.
 const CONFLICT_RETRY_MS: Millis = 400.0;
-/// Two that bid against each other wait so long in ms at least, and up to twice that.
+/// Minimum delay before a claim is repeated under a higher ballot, in milliseconds. The delay is random, up
+/// to twice this value, so that competing claims do not collide again.
 const MIN_BACKOFF_MS: Millis = 20.0;
-/// A holder that is asked to let go does so within this time in ms, or is cut off.
+/// Time for a holder to reply to a release request, in milliseconds. A holder that exceeds it is unreachable.
 const RELEASE_TIMEOUT_MS: Millis = 200.0;
-/// What a request needs after its claim to be served in, in ms: a claim must not use it up.
+/// Time that a claim must leave for serving the request afterwards, in milliseconds.
 const RESERVED_FOR_SERVICE_MS: Millis = 200.0;
-/// After the end of a lease so long passes before the next claim, in ms.
+/// Delay between the expiry of a lease and the next claim, in milliseconds.
 const LEASE_END_MARGIN_MS: Millis = 5.0;
 
 impl Sessions {
@@ -61,8 +62,8 @@
         }
         match session.state {
             State::Detached => self.claim(id, request, token.epoch, None, deadline, commands),
-            // The newcomer has the better claim: the other connection may be half open, and whoever sits
-            // at it is told.
+            // The new connection takes precedence: the old one may be half-open. If its client is still
+            // there, it is notified.
             State::Established if session.pending_takeover.is_none() => {
                 session.pending_takeover = Some((request, token.epoch, deadline));
                 session.state = State::Closing;
@@ -79,7 +80,7 @@
     }
 
     fn begin_session(&mut self, request: RequestId, commands: &mut Vec<Command>) {
-        // What nobody could keep must not begin.
+        // A session that no server could store must not begin.
         if !self.make_room(0) || self.replica_candidates().is_empty() {
             return self.reply_busy(request, CONFLICT_RETRY_MS, commands);
         }
@@ -88,27 +89,28 @@
         commands.push(Command::Proceed(request));
     }
 
-    /// Makes room for one more session with so many bytes: those whose client is away can do without this
-    /// caretaker, as their keepers have all of it.
+    /// Makes room for one more session with this journal size. Sessions whose client is disconnected can be
+    /// removed here, because their replicas store all of their state. Returns false if there is no room.
     fn make_room(&mut self, bytes: usize) -> bool {
-        let full = |this: &Self| {
+        let is_full = |this: &Self| {
             this.sessions.len() >= this.settings.max_sessions
                 || bytes > 0 && this.total_journal_bytes + bytes > this.settings.max_total_journals_bytes
         };
-        while full(self) {
-            let away = self.sessions.values().filter(|s| matches!(s.state, State::Detached));
-            let Some(first) =
-                away.min_by(|a, b| a.token_expires_at.total_cmp(&b.token_expires_at).then(a.id.cmp(&b.id)))
+        while is_full(self) {
+            let detached = self.sessions.values().filter(|s| matches!(s.state, State::Detached));
+            let Some(oldest) = detached
+                .min_by(|a, b| a.token_expires_at.total_cmp(&b.token_expires_at).then(a.id.cmp(&b.id)))
             else {
                 return false;
             };
-            let id = first.id;
+            let id = oldest.id;
             self.remove(id);
         }
         true
     }
 
-    /// Claims a session for a request, by the keepers that are known or that a token names.
+    /// Starts a claim on a session for a request. `replicas` are those named by the token, or `None` if the
+    /// session is known here.
     pub(super) fn claim(
         &mut self,
         id: SessionId,
@@ -144,7 +146,8 @@
         self.query_replicas(id, None, commands);
     }
 
-    /// Asks the keepers that have not answered: all of them, or one that is linked only now.
+    /// Sends the claim to the replicas that have not answered: to all of them, or only to one whose link has
+    /// just come up.
     pub(super) fn query_replicas(&mut self, id: SessionId, only: Option<u64>, commands: &mut Vec<Command>) {
         let Some(State::Claiming(claim)) = self.sessions.get_mut(&id).map(|s| &mut s.state) else { return };
         let call = ClaimCall {
@@ -154,24 +157,24 @@
             token_epoch: claim.token_epoch,
             proof: claim.released_ballot,
         };
-        // A holder that was to be asked, and is linked only now.
-        let asked = claim
+        // A holder whose release is requested and whose link has just come up.
+        let release_due = claim
             .release_requested
             .filter(|h| only == Some(h.server) && claim.released_ballot < Some(h.ballot));
         let members = claim.replicas.members.clone();
-        let waiting: Vec<_> = members
+        let unanswered: Vec<_> = members
             .into_iter()
             .zip(&claim.answers)
             .filter(|(_, a)| matches!(a, ReplicaAnswer::Pending))
             .collect();
-        let waiting: Vec<_> = waiting.into_iter().map(|(m, _)| m).collect();
-        for member in waiting.into_iter().filter(|m| only.is_none_or(|only| only == m.server)) {
+        let unanswered: Vec<_> = unanswered.into_iter().map(|(m, _)| m).collect();
+        for member in unanswered.into_iter().filter(|m| only.is_none_or(|only| only == m.server)) {
             match self.servers.get(&member.server) {
                 Some(server) if server.is_linked_as(member.incarnation) => {
                     let server = ServerId(member.server);
                     commands.push(Command::Call { server, call: Call::new(call::Body::Claim(call)) });
                 }
-                // It has begun anew, and forgotten.
+                // The server has restarted and lost its records.
                 Some(server) if server.is_linked() => {
                     if let Some(State::Claiming(claim)) = self.sessions.get_mut(&id).map(|s| &mut s.state)
                         && let Some(answer) = claim.answer_of(member.server)
@@ -182,7 +185,7 @@
                 _ => self.ensure_link(member.server, commands),
             }
         }
-        if let Some(holder) = asked {
+        if let Some(holder) = release_due {
             self.request_release(id, holder.server, holder.ballot, commands);
         }
         self.evaluate_answers(id, commands);
@@ -197,7 +200,7 @@
         }
     }
 
-    /// Does what follows from the answers so far.
+    /// Acts on the answers received so far.
     fn evaluate_answers(&mut self, id: SessionId, commands: &mut Vec<Command>) {
         let now = self.now;
         let backoff = MIN_BACKOFF_MS * (1.0 + self.random_fraction());
@@ -224,12 +227,12 @@
                 claim.retry_at = now + RELEASE_TIMEOUT_MS;
                 self.request_release(id, holder.server, holder.ballot, commands);
             }
-            Step::RetryAfter(left) => {
-                let at = now + left + LEASE_END_MARGIN_MS;
+            Step::RetryAfter(remaining_ms) => {
+                let at = now + remaining_ms + LEASE_END_MARGIN_MS;
                 if at <= claim.deadline {
                     claim.retry_at = at;
                 } else if !claim.answers.iter().any(|a| matches!(a, ReplicaAnswer::Pending)) {
-                    return self.decline_claim(id, left, commands);
+                    return self.decline_claim(id, remaining_ms, commands);
                 }
             }
             Step::ReplicasLost => return self.reject_claim(id, Rejection::ReplicasLost, commands),
@@ -237,7 +240,7 @@
         self.schedule(id);
     }
 
-    /// The time of a claim has come, for one thing or another.
+    /// Handles the timer of a claim: its deadline or the time of a retry.
     pub(super) fn on_claim_timer(&mut self, id: SessionId, commands: &mut Vec<Command>) {
         let now = self.now;
         let Some(State::Claiming(claim)) = self.sessions.get_mut(&id).map(|s| &mut s.state) else { return };
@@ -277,7 +280,7 @@
         &mut self,
         server: ServerId,
         refused: Refused,
-        why: Why,
+        reason: Why,
         commands: &mut Vec<Command>,
     ) {
         let id = refused.session;
@@ -285,11 +288,11 @@
         if claim.ballot != refused.ballot {
             return;
         }
-        if why == Why::Stale {
+        if reason == Why::Stale {
             return self.reject_claim(id, Rejection::Replayed, commands);
         }
         let Some(answer) = claim.answer_of(server.0) else { return };
-        *answer = match why {
+        *answer = match reason {
             Why::Leased => ReplicaAnswer::Leased {
                 remaining_ms: f64::from(refused.left_ms),
                 holder: refused.holder,
@@ -301,32 +304,38 @@
         self.evaluate_answers(id, commands);
     }
 
-    /// A holder has let go.
-    pub(super) fn on_holder_released(&mut self, server: ServerId, gone: LetGo, commands: &mut Vec<Command>) {
-        let Some(State::Claiming(claim)) = self.sessions.get_mut(&gone.session).map(|s| &mut s.state) else {
+    /// Handles the reply of a holder that has released the session.
+    pub(super) fn on_holder_released(
+        &mut self,
+        server: ServerId,
+        released: LetGo,
+        commands: &mut Vec<Command>,
+    ) {
+        let Some(State::Claiming(claim)) = self.sessions.get_mut(&released.session).map(|s| &mut s.state)
+        else {
             return;
         };
-        if claim.release_requested.is_none_or(|h| h.server != server.0 || gone.ballot < h.ballot) {
+        if claim.release_requested.is_none_or(|h| h.server != server.0 || released.ballot < h.ballot) {
             return;
         }
-        claim.released_ballot = claim.released_ballot.max(Some(gone.ballot));
+        claim.released_ballot = claim.released_ballot.max(Some(released.ballot));
         claim.retry_at = self.now;
-        self.on_claim_timer(gone.session, commands);
+        self.on_claim_timer(released.session, commands);
     }
 
-    /// A pointer is at one more of the keepers that it leads away from.
+    /// Continues with the new replicas once the pointer to them is stored at a majority.
     pub(super) fn on_pointer_stored(&mut self, id: SessionId, commands: &mut Vec<Command>) {
         let Some(State::Claiming(claim)) = self.sessions.get_mut(&id).map(|s| &mut s.state) else { return };
-        let done = |(pointer, has): &mut (Pointer, Vec<u64>)| {
-            (has.len() >= claim.replicas.majority()).then(|| pointer.to.clone())
+        let completed = |(pointer, stored_by): &mut (Pointer, Vec<u64>)| {
+            (stored_by.len() >= claim.replicas.majority()).then(|| pointer.to.clone())
         };
-        if let Some(replicas) = claim.pending_pointer.as_mut().and_then(done) {
+        if let Some(replicas) = claim.pending_pointer.as_mut().and_then(completed) {
             claim.query(replicas);
             self.query_replicas(id, None, commands);
         }
     }
 
-    /// The session is the claimer's.
+    /// Takes ownership of a session after a majority of its replicas has promised the claim.
     fn on_claim_won(&mut self, id: SessionId, record: Promised, commands: &mut Vec<Command>) {
         let Some(mut session) = self.remove(id) else { return };
         let State::Claiming(claim) = session.state else { return };
@@ -353,7 +362,7 @@
         commands.push(Command::Proceed(request));
     }
 
-    /// Gives a claim up, whatever becomes of its request.
+    /// Cancels a claim and returns its request, which remains to be answered.
     pub(super) fn abandon_claim(&mut self, id: SessionId, commands: &mut Vec<Command>) -> Option<RequestId> {
         let Some(State::Claiming(claim)) = self.sessions.get_mut(&id).map(|s| &mut s.state) else {
             return None;
@@ -364,8 +373,9 @@
         self.claiming.remove(&id);
         self.requests.remove(&request);
         if was_known {
-            // Its keepers may have promised the claim, and outbid this caretaker by that: it will see.
-            let session = self.sessions.get_mut(&id).expect("just seen");
+            // The replicas may have promised the claim and refuse the previous ballot since. Later replies
+            // will show that.
+            let session = self.sessions.get_mut(&id).expect("the session exists");
             session.state = State::Detached;
             session.request = None;
             self.schedule(id);
@@ -375,9 +385,10 @@
         Some(request)
     }
 
-    fn decline_claim(&mut self, id: SessionId, about_ms: Millis, commands: &mut Vec<Command>) {
+    fn decline_claim(&mut self, id: SessionId, delay_ms: Millis, commands: &mut Vec<Command>) {
         if let Some(State::Claiming(claim)) = self.sessions.get(&id).map(|s| &s.state) {
-            let count = |of: fn(&ReplicaAnswer) -> bool| claim.answers.iter().filter(|a| of(a)).count();
+            let count =
+                |matching: fn(&ReplicaAnswer) -> bool| claim.answers.iter().filter(|a| matching(a)).count();
             commands.push(Command::Log(LogEvent::ClaimDeclined {
                 session: id,
                 configuration: claim.replicas.number,
@@ -390,7 +401,7 @@
             }));
         }
         if let Some(request) = self.abandon_claim(id, commands) {
-            self.reply_busy(request, about_ms.max(CONFLICT_RETRY_MS / 4.0), commands);
+            self.reply_busy(request, delay_ms.max(CONFLICT_RETRY_MS / 4.0), commands);
         }
     }
 
@@ -400,7 +411,7 @@
         }
     }
 
-    /// Has a session looked at when something of it is due next.
+    /// Sets the timer of a session to its next deadline.
     pub(super) fn schedule(&mut self, id: SessionId) {
         let Some(session) = self.sessions.get(&id) else { return };
         let at = match &session.state {
--- a/sessions/src/state_machine/lifecycle.rs
+++ b/sessions/src/state_machine/lifecycle.rs
@@ -1,4 +1,4 @@
-//! A session with a form host: leases, saves, tokens, and its end.
+//! A session at its server: leases, saves, tokens and its end.
 
 use super::{Sessions, TimerKey};
 use crate::interface::{Command, LogEvent, SessionHandover};
@@ -10,16 +10,17 @@
 use marllink_lease_protocol::{Append, Ballot, Configuration, Confirm, Field, Member, SessionId, call};
 use rand_xoshiro::rand_core::Rng;
 
-/// A holder's first lease is no shorter than this share of a whole one: it would have to ask again
-/// before it has taken the session.
+/// Minimum duration of a holder's first lease, as a fraction of a full lease. With a shorter one the holder
+/// would have to renew before it has accepted the session.
 const MIN_FIRST_LEASE_RATIO: f64 = 0.5;
-/// Tokens that are all due at once, as after a change of keys, are spread over so long in ms.
+/// Time over which the issue of tokens is spread that are due at once, for example after a change of keys, in
+/// milliseconds.
 const TOKEN_SPREAD_MS: Millis = 1_000.0;
-/// Who can't be kept by anybody now is told to come again after about so long in ms.
+/// Approximate retry delay for a client whose session has no available replicas, in milliseconds.
 const NO_REPLICAS_RETRY_MS: Millis = 500.0;
 
 impl Sessions {
-    /// The session whose own connection this request is.
+    /// Returns the session whose current connection or claim belongs to this request.
     fn connected_session(&mut self, request: RequestId) -> Option<&mut Session> {
         let id = self.session_id_of(request)?;
         self.sessions.get_mut(&id).filter(|s| s.request == Some(request))
@@ -39,17 +40,17 @@
         if session.replicas.members.is_empty() {
             let members = self.choose_replicas(id, server);
             if members.is_empty() {
-                let session = self.sessions.get_mut(&id).expect("just seen");
+                let session = self.sessions.get_mut(&id).expect("the session exists");
                 session.state = State::Closing;
                 return self.reply_busy(request, NO_REPLICAS_RETRY_MS, commands);
             }
             for member in &members {
                 self.sessions_by_replica.entry(member.server).or_default().insert(id);
             }
-            let session = self.sessions.get_mut(&id).expect("just seen");
+            let session = self.sessions.get_mut(&id).expect("the session exists");
             session.set_replicas(Configuration { number: 1, members });
         }
-        let session = self.sessions.get_mut(&id).expect("just seen");
+        let session = self.sessions.get_mut(&id).expect("the session exists");
         let Ballot { epoch, attempt } = session.ballot;
         session.set_ballot(Ballot { epoch, attempt: attempt + 1 });
         session.holder = Some(server);
@@ -88,36 +89,41 @@
         }
     }
 
-    /// Renewals at a keeper may have made leases longer for which holders wait.
+    /// Grants the leases that became possible when this replica renewed the process's lease.
     pub(super) fn grant_leases_at(&mut self, server: u64, commands: &mut Vec<Command>) {
         if self.awaiting_lease.is_empty() {
             return;
         }
-        let kept = self.sessions_by_replica.get(&server);
-        let mut waiting: Vec<_> =
-            self.awaiting_lease.iter().filter(|id| kept.is_some_and(|k| k.contains(id))).copied().collect();
+        let session_ids = self.sessions_by_replica.get(&server);
+        let mut waiting: Vec<_> = self
+            .awaiting_lease
+            .iter()
+            .filter(|id| session_ids.is_some_and(|ids| ids.contains(id)))
+            .copied()
+            .collect();
         waiting.sort_unstable();
         waiting.into_iter().for_each(|id| self.grant_lease(id, commands));
     }
 
-    /// Answers a holder that has asked for a lease, as far as its keepers' leases cover it.
+    /// Answers a holder's lease request if the leases at a majority of the replicas cover the session long
+    /// enough.
     pub(super) fn grant_lease(&mut self, id: SessionId, commands: &mut Vec<Command>) {
         let (now, clock_drift_ratio) = (self.now, self.settings.clock_drift_ratio);
-        let least = self.settings.lease_ms * MIN_FIRST_LEASE_RATIO;
+        let min_first_lease_ms = self.settings.lease_ms * MIN_FIRST_LEASE_RATIO;
         let Some(session) = self.sessions.get(&id) else { return };
         let (Some(k), Some(request)) = (session.lease_request, session.request) else { return };
         if !matches!(session.state, State::Attempting | State::Established) {
             return;
         }
-        let covered = self.lease_covered_until(id);
-        let ms = ((covered - now) * (1.0 - clock_drift_ratio)).floor();
-        let session = self.sessions.get_mut(&id).expect("just seen");
-        if ms < 1.0 || (!session.has_lease && ms < least) {
+        let covered_until = self.lease_covered_until(id);
+        let ms = ((covered_until - now) * (1.0 - clock_drift_ratio)).floor();
+        let session = self.sessions.get_mut(&id).expect("the session exists");
+        if ms < 1.0 || (!session.has_lease && ms < min_first_lease_ms) {
             return;
         }
         let mut lines = format!("LEASE {k} {ms}\r\n").into_bytes();
         session.lease_request = None;
-        session.hold_until = session.hold_until.max(covered);
+        session.hold_until = session.hold_until.max(covered_until);
         if !session.has_lease {
             session.has_lease = true;
             let fields = session.journal.fields_in_save_order();
@@ -155,9 +161,9 @@
         self.queue_review(id);
     }
 
-    /// Gives the client a token of now.
+    /// Issues a token to the client.
     fn issue_token(&mut self, id: SessionId, commands: &mut Vec<Command>) {
-        let (now, unix, lasts) = (self.now, self.unix_ms(), self.settings.token_validity_ms);
+        let (now, unix_ms, validity_ms) = (self.now, self.unix_ms(), self.settings.token_validity_ms);
         let mut nonce = [0; 24];
         nonce.chunks_mut(8).for_each(|part| part.copy_from_slice(&self.rng.next_u64().to_le_bytes()));
         let Some(session) = self.sessions.get_mut(&id) else { return };
@@ -167,19 +173,19 @@
             upto: session.applied_upto,
             holder: session.holder.map_or(0, |h| h.0),
             replicas: session.replicas.clone(),
-            issued_ms: unix as u64,
-            expires_ms: (unix + lasts) as u64,
+            issued_ms: unix_ms as u64,
+            expires_ms: (unix_ms + validity_ms) as u64,
         };
-        session.next_token_at = now + lasts / 2.0;
-        session.token_expires_at = now + lasts;
-        if let (Some(request), Some(text)) = (session.request, token.seal(&self.keys, nonce, unix)) {
+        session.next_token_at = now + validity_ms / 2.0;
+        session.token_expires_at = now + validity_ms;
+        if let (Some(request), Some(text)) = (session.request, token.seal(&self.keys, nonce, unix_ms)) {
             commands.push(Command::SendToClient { request, lines: format!("TOKEN {text}\r\n").into_bytes() });
         }
         self.schedule(id);
     }
 
     pub(super) fn on_save_received(&mut self, request: RequestId, field: Field, commands: &mut Vec<Command>) {
-        let (bound, room) = (
+        let (max_bytes, remaining_bytes) = (
             self.settings.max_journal_bytes,
             self.settings.max_total_journals_bytes.saturating_sub(self.total_journal_bytes),
         );
@@ -188,15 +194,15 @@
             return;
         }
         let id = session.id;
-        let before = session.journal.bytes();
-        match session.journal.save(&field, bound.min(before.saturating_add(room))) {
+        let bytes_before = session.journal.bytes();
+        match session.journal.save(&field, max_bytes.min(bytes_before.saturating_add(remaining_bytes))) {
             Err(SaveError::Duplicate) if field.n <= session.applied_upto => {
                 commands.push(Command::SendToClient {
                     request,
                     lines: format!("SAVED {}\r\n", field.n).into_bytes(),
                 });
             }
-            // It is on its way.
+            // The save is in progress and will be confirmed later.
             Err(SaveError::Duplicate) => {}
             Err(SaveError::Gap) => {
                 let next = session.journal.upto() + 1;
@@ -210,22 +216,23 @@
                 });
             }
             Ok(()) => {
-                let after = session.journal.bytes();
+                let bytes_after = session.journal.bytes();
                 session.unsent_saves.push_back(field.clone());
-                // A client that saves under this epoch has its token.
+                // A client that saves under this epoch must have received its token.
                 session.confirmed_epoch = session.ballot.epoch;
                 let append = Append { session: id, ballot: session.ballot, field };
-                let told = |r: &&crate::session::ReplicaState| {
+                let has_record = |r: &&crate::session::ReplicaState| {
                     r.written_generation.is_some() || r.pending_generation.is_some()
                 };
-                let members: Vec<_> = session.replica_states.iter().filter(told).map(|r| r.member).collect();
-                self.total_journal_bytes = self.total_journal_bytes - before + after;
+                let members: Vec<_> =
+                    session.replica_states.iter().filter(has_record).map(|r| r.member).collect();
+                self.total_journal_bytes = self.total_journal_bytes - bytes_before + bytes_after;
                 self.call_members(&members, &call::Body::Append(append), commands);
             }
         }
     }
 
-    /// Gives the holder the saves that outlive it.
+    /// Sends the holder the saves that have become durable.
     pub(super) fn send_durable_saves(&mut self, id: SessionId, commands: &mut Vec<Command>) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         let Some(request) = session.request.filter(|_| matches!(session.state, State::Established)) else {
@@ -234,9 +241,9 @@
         if session.unsent_saves.is_empty() {
             return;
         }
-        let durable = session.durable_upto();
+        let durable_upto = session.durable_upto();
         let mut lines = Vec::new();
-        while session.unsent_saves.front().is_some_and(|f| f.n <= durable) {
+        while session.unsent_saves.front().is_some_and(|f| f.n <= durable_upto) {
             let Some(field) = session.unsent_saves.pop_front() else { break };
             lines.extend(format!("SAVE {} {}=", field.n, field.name).bytes());
             lines.extend_from_slice(&field.value);
@@ -264,7 +271,12 @@
         }
     }
 
-    pub(super) fn on_attempt_ended(&mut self, request: RequestId, over: bool, commands: &mut Vec<Command>) {
+    pub(super) fn on_attempt_ended(
+        &mut self,
+        request: RequestId,
+        session_over: bool,
+        commands: &mut Vec<Command>,
+    ) {
         let Some(session) = self.connected_session(request) else { return };
         let id = session.id;
         session.holder = None;
@@ -272,20 +284,20 @@
         session.hold_until = 0.0;
         session.lease_request = None;
         match session.state {
-            // The request may go on to another form host, which gets a ballot of its own.
+            // The request may continue at another server, under a new ballot.
             State::Attempting => session.state = State::Claimed,
-            State::Established | State::Closing => self.release_session(id, over, commands),
+            State::Established | State::Closing => self.release_session(id, session_over, commands),
             State::Claiming(_) | State::Claimed | State::Detached => {}
         }
         self.awaiting_lease.remove(&id);
         self.schedule(id);
     }
 
-    /// Nobody holds a session any more that this process has had.
-    fn release_session(&mut self, id: SessionId, over: bool, commands: &mut Vec<Command>) {
+    /// Releases a session that no server holds any more, and starts a pending takeover.
+    fn release_session(&mut self, id: SessionId, session_over: bool, commands: &mut Vec<Command>) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
-        // One that never stood has no client that could come again.
-        let over = over || session.token_expires_at.is_infinite();
+        // If the connection was never established, the client has no token to resume with.
+        let session_over = session_over || session.token_expires_at.is_infinite();
         let members: Vec<_> = session.replica_states.iter().map(|r| r.member).collect();
         let ballot = session.ballot;
         let request = session.request.take();
@@ -297,8 +309,8 @@
         if let Some(request) = request {
             self.requests.remove(&request);
         }
-        self.send_release(&members, id, ballot, over, commands);
-        if over {
+        self.send_release(&members, id, ballot, session_over, commands);
+        if session_over {
             self.remove(id);
             if let Some((request, ..)) = pending_takeover {
                 self.requests.remove(&request);
@@ -312,7 +324,7 @@
     pub(super) fn on_request_closed(&mut self, request: RequestId, commands: &mut Vec<Command>) {
         let Some(id) = self.session_id_of(request) else { return };
         let Some(session) = self.sessions.get_mut(&id) else { return };
-        if session.pending_takeover.is_some_and(|(waits, ..)| waits == request) {
+        if session.pending_takeover.is_some_and(|(waiting, ..)| waiting == request) {
             session.pending_takeover = None;
             self.requests.remove(&request);
             return;
@@ -366,13 +378,14 @@
         self.schedule(id);
     }
 
-    /// Every client gets a token that the new keys open, before the old ones may be withdrawn.
+    /// Changes the keys and issues a new token to every client, so that the old keys can be removed
+    /// afterwards.
     pub(super) fn on_keys(&mut self, keys: crate::keys::KeyRing) {
         self.keys = keys;
-        let standing = |s: &&Session| matches!(s.state, State::Established);
-        let mut all: Vec<_> = self.sessions.values().filter(standing).map(|s| s.id).collect();
-        all.sort_unstable();
-        for id in all {
+        let established = |s: &&Session| matches!(s.state, State::Established);
+        let mut ids: Vec<_> = self.sessions.values().filter(established).map(|s| s.id).collect();
+        ids.sort_unstable();
+        for id in ids {
             let at = self.now + TOKEN_SPREAD_MS * self.random_fraction();
             if let Some(session) = self.sessions.get_mut(&id) {
                 session.next_token_at = at;
@@ -387,7 +400,8 @@
         match &session.state {
             State::Claiming(_) => self.on_claim_timer(id, commands),
             State::Established if session.has_lease && session.hold_until <= now => {
-                // Its form host has let go by now: it is silent, or its keepers are.
+                // The server's lease has ended, because the server or a majority of the replicas is
+                // unresponsive.
                 session.state = State::Closing;
                 commands.extend(session.request.map(Command::Move));
             }
--- a/sessions/src/state_machine/replication.rs
+++ b/sessions/src/state_machine/replication.rs
@@ -1,4 +1,4 @@
-//! Links to keepers, leases at them, and who keeps what.
+//! Links to lease replicas, leases at them, and the replicas of each session.
 
 use super::{Sessions, TimerKey};
 use crate::interface::{Command, ListedServer, LogEvent};
@@ -11,85 +11,93 @@
 };
 use std::collections::VecDeque;
 
-/// A lease is renewed so many times while it runs: two renewals may be lost.
-const RENEWALS_PER_LEASE_COUNT: f64 = 4.0;
-/// Renewals that wait for an answer; older ones would tell nothing any more.
-const MAX_PENDING_RENEWALS_COUNT: usize = 8;
-/// A link that could not be made is tried again after so long in ms, doubled with each failure.
+/// Number of renewals per lease duration, so that two consecutive renewals may be lost.
+const RENEWALS_PER_LEASE: f64 = 4.0;
+/// Maximum number of unanswered renewals that are remembered. An answer to an older one would be of no use.
+const MAX_PENDING_RENEWALS: usize = 8;
+/// Delay before the first attempt to re-establish a link, in milliseconds. It doubles with each failure.
 const RECONNECT_DELAY_MS: Millis = 100.0;
+/// Maximum delay between attempts to re-establish a link, in milliseconds.
 const MAX_RECONNECT_DELAY_MS: Millis = 2_000.0;
-/// A link that nothing needs any more stays for so long in ms.
+/// Time after which an unused link is closed, in milliseconds.
 const IDLE_LINK_TIMEOUT_MS: Millis = 30_000.0;
-/// A keeper whose link has been down for so many leases is replaced: one that only stalls for a moment
-/// comes back with all that it keeps.
+/// A replica is replaced once its link has been down for this fraction of the lease duration. One that stalls
+/// only briefly comes back with all of its records.
 const REPLACE_AFTER_LEASE_RATIO: f64 = 0.75;
-/// A keeper without room is asked for nothing new for so long in ms.
+/// Time during which a replica that is full is not used for further sessions, in milliseconds.
 const FULL_REPLICA_PAUSE_MS: Millis = 10_000.0;
 
-/// A form host as a keeper.
+/// A server in its role as a lease replica.
 #[derive(Debug, Default)]
 pub struct Server {
-    /// As the list has it, if it does.
+    /// Its entry in the server list, if it is listed.
     pub listed: Option<Listing>,
-    /// One of those that keep what is new here.
+    /// True if this process uses it as a replica of new sessions.
     pub in_pool: bool,
-    /// It has no room until then.
+    /// Time until which it is assumed to be full.
     pub full_until: Millis,
     link: Link,
-    /// Counts the times at which a lease may have lapsed.
+    /// Incremented whenever a lease may have lapsed.
     lease_generation: u32,
+    /// End of the current lease on this clock; 0 before the first renewal on a link is confirmed.
     lease_until: Millis,
+    /// True while the link is up without a lease in force.
     lease_lapsed: bool,
-    /// Renewals under way: their numbers and when they were sent.
+    /// Unanswered renewals: their numbers and the times at which they were sent.
     pending_renewals: VecDeque<(u64, Millis)>,
+    /// Number of the last renewal sent.
     last_renewal: u64,
+    /// Time of the next renewal, or of the next attempt to re-establish the link while it is down.
     next_attempt_at: Millis,
-    /// Since when there has been no link.
+    /// Time at which the link went down.
     down_since: Millis,
+    /// Number of times the link has ended or failed since it was last up.
     failures: u32,
-    /// Something needs the link until then.
+    /// Time until which the link is needed.
     needed_until: Millis,
 }
 
-/// A listed form host.
+/// A server's entry in the server list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Listing {
-    /// Where it is.
+    /// Its zone.
     pub zone: ZoneId,
-    /// Whether it takes anything new.
+    /// True if it accepts new connections.
     pub ready: bool,
 }
 
+/// State of a link to a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Link {
     #[default]
     Down,
     Connecting,
+    /// Up, with this incarnation of the server.
     Up(u64),
 }
 
 impl Server {
-    /// True if it is linked in this life.
+    /// Returns true if the link is up with this incarnation.
     pub fn is_linked_as(&self, incarnation: u64) -> bool {
         self.link == Link::Up(incarnation)
     }
 
-    /// True if it is linked.
+    /// Returns true if the link is up.
     pub fn is_linked(&self) -> bool {
         self.incarnation().is_some()
     }
 
-    /// Its present life, if it is linked.
+    /// Returns the incarnation of the server if the link is up.
     pub fn incarnation(&self) -> Option<u64> {
         if let Link::Up(incarnation) = self.link { Some(incarnation) } else { None }
     }
 
-    /// True if it is linked and the lease runs.
+    /// Returns true if the link is up and the lease has not expired.
     pub fn has_lease(&self, now: Millis) -> bool {
         matches!(self.link, Link::Up(_)) && self.lease_until > now
     }
 
-    /// The lease at this member, if the vote was given under it.
+    /// Returns the end of the lease at this replica if the record was written under it, or 0.
     fn lease_covering_until(&self, replica: &ReplicaState) -> Millis {
         let written = replica.written_generation == Some(self.lease_generation)
             && self.is_linked_as(replica.member.incarnation);
@@ -106,14 +114,14 @@
             let entry = self.servers.entry(server.0).or_default();
             entry.listed = Some(Listing { zone: *zone, ready: *ready });
         }
-        // Each balancer has so many links at most; which, is drawn by its own number.
+        // Each balancer limits its number of links, and selects its pool of replicas by its owner number.
         let ready: Vec<_> = listed
             .iter()
             .filter(|l| l.ready)
             .map(|l| placement::Candidate { server: l.server, zone: l.zone })
             .collect();
-        let own = SessionId { hi: self.owner, lo: 0 };
-        let pool = placement::choose(own, &ready, self.settings.max_links, &[], None);
+        let pool_key = SessionId { hi: self.owner, lo: 0 };
+        let pool = placement::choose(pool_key, &ready, self.settings.max_links, &[], None);
         let mut changed = Vec::new();
         for (number, server) in &mut self.servers {
             let in_pool = pool.contains(&ServerId(*number));
@@ -140,7 +148,7 @@
         }
     }
 
-    /// Has a link made, unless it stands or is tried again soon.
+    /// Opens a link, unless it exists or a retry is due soon.
     pub(super) fn ensure_link(&mut self, number: u64, commands: &mut Vec<Command>) {
         let now = self.now;
         let server = self.servers.entry(number).or_default();
@@ -165,7 +173,7 @@
         entry.pending_renewals.clear();
         entry.next_attempt_at = now;
         self.on_link_timer(server.0, commands);
-        // Who is asked for a session must know of the lease first, which has just been sent.
+        // The replica must receive the lease renewal, which has just been sent, before any claim.
         let mut claims: Vec<_> = self.claiming.iter().copied().collect();
         claims.sort_unstable();
         claims.into_iter().for_each(|id| self.query_replicas(id, Some(server.0), commands));
@@ -183,18 +191,18 @@
         entry.lease_generation += 1;
         entry.lease_until = 0.0;
         entry.failures += 1;
-        let wait = RECONNECT_DELAY_MS * f64::from(1u32 << (entry.failures - 1).min(10));
-        entry.next_attempt_at = now + wait.min(MAX_RECONNECT_DELAY_MS);
+        let delay_ms = RECONNECT_DELAY_MS * f64::from(1u32 << (entry.failures - 1).min(10));
+        entry.next_attempt_at = now + delay_ms.min(MAX_RECONNECT_DELAY_MS);
         let at = entry.next_attempt_at.min(entry.down_since + replace_after_ms);
         self.timers.set_earlier(TimerKey::Link(server.0), at.max(now + 1.0));
     }
 
-    /// Renews the lease, makes a link again, or ends one that nothing needs.
+    /// Handles the timer of a link: renews the lease, reopens the link, or closes it if unused.
     pub(super) fn on_link_timer(&mut self, number: u64, commands: &mut Vec<Command>) {
-        let (now, lease) = (self.now, self.settings.lease_ms);
-        let kept = self.sessions_by_replica.contains_key(&number);
+        let (now, lease_ms) = (self.now, self.settings.lease_ms);
+        let stores_sessions = self.sessions_by_replica.contains_key(&number);
         let Some(server) = self.servers.get_mut(&number) else { return };
-        let needed = kept || server.in_pool || server.needed_until > now;
+        let needed = stores_sessions || server.in_pool || server.needed_until > now;
         match server.link {
             Link::Down if needed && server.next_attempt_at <= now => {
                 server.link = Link::Connecting;
@@ -220,11 +228,11 @@
                 if server.next_attempt_at <= now {
                     server.last_renewal += 1;
                     server.pending_renewals.push_back((server.last_renewal, now));
-                    if server.pending_renewals.len() > MAX_PENDING_RENEWALS_COUNT {
+                    if server.pending_renewals.len() > MAX_PENDING_RENEWALS {
                         server.pending_renewals.pop_front();
                     }
-                    server.next_attempt_at = now + lease / RENEWALS_PER_LEASE_COUNT;
-                    let renew = Renew { k: server.last_renewal, ms: lease as u32 };
+                    server.next_attempt_at = now + lease_ms / RENEWALS_PER_LEASE;
+                    let renew = Renew { k: server.last_renewal, ms: lease_ms as u32 };
                     let call = Call::new(call::Body::Renew(renew));
                     commands.push(Command::Call { server: ServerId(number), call });
                 }
@@ -236,7 +244,7 @@
                 let lapsed = server.lease_lapsed;
                 self.timers.set(TimerKey::Link(number), at.max(now + 1.0));
                 if lapsed {
-                    // One that has not answered for so long is not waited for.
+                    // The replica has not answered in time. Its sessions may need a replacement.
                     self.queue_reviews_of(number);
                 }
             }
@@ -250,29 +258,27 @@
             Some(reply::Body::Promised(promised)) => self.on_promised(server, promised, commands),
             Some(reply::Body::Stored(stored)) => self.on_stored(server, stored, commands),
             Some(reply::Body::Refused(refused)) => self.on_refused(server, refused, commands),
-            Some(reply::Body::LetGo(unused_servers)) => {
-                self.on_holder_released(server, unused_servers, commands)
-            }
+            Some(reply::Body::LetGo(released)) => self.on_holder_released(server, released, commands),
             None => {}
         }
     }
 
     fn on_renewed(&mut self, number: u64, k: u64, commands: &mut Vec<Command>) {
         let now = self.now;
-        let runs = self.settings.lease_ms * (1.0 - self.settings.clock_drift_ratio);
+        let lease_duration_ms = self.settings.lease_ms * (1.0 - self.settings.clock_drift_ratio);
         let Some(server) = self.servers.get_mut(&number) else { return };
-        let Some(at) = server.pending_renewals.iter().position(|(n, _)| *n == k) else { return };
-        let (_, sent) = server.pending_renewals.drain(..=at).next_back().expect("it was just seen");
-        if sent + runs <= now {
+        let Some(index) = server.pending_renewals.iter().position(|(n, _)| *n == k) else { return };
+        let (_, sent) = server.pending_renewals.drain(..=index).next_back().expect("the renewal is pending");
+        if sent + lease_duration_ms <= now {
             return;
         }
-        // Until this answer came, the keeper may have thought that the one before was over.
+        // Before this renewal arrived, the previous lease may have expired at the replica.
         let lapsed = server.lease_lapsed || server.lease_until <= now;
         if lapsed {
             server.lease_generation += 1;
         }
         server.lease_lapsed = false;
-        server.lease_until = server.lease_until.max(sent + runs);
+        server.lease_until = server.lease_until.max(sent + lease_duration_ms);
         let at = server.next_attempt_at.min(server.lease_until);
         self.timers.set(TimerKey::Link(number), at);
         if lapsed {
@@ -282,18 +288,18 @@
         }
     }
 
-    /// Until when the lease of a majority of the keepers covers a session.
+    /// Returns the time until which the leases at a majority of the replicas cover a session.
     pub(super) fn lease_covered_until(&self, id: SessionId) -> Millis {
         let Some(session) = self.sessions.get(&id) else { return 0.0 };
-        let covers = |replica: &ReplicaState| {
+        let covered_until = |replica: &ReplicaState| {
             self.servers
                 .get(&replica.member.server)
                 .map_or(0.0, |server| server.lease_covering_until(replica))
         };
-        session.quorum_value(0.0, covers)
+        session.quorum_value(0.0, covered_until)
     }
 
-    /// Has a session's record where it should be, and its keepers replaced that are lost.
+    /// Writes the session's record to the replicas that lack it, and replaces lost replicas.
     pub(super) fn maintain_replicas(&mut self, id: SessionId, commands: &mut Vec<Command>) {
         let Some(session) = self.sessions.get(&id) else { return };
         if !(session.may_be_held() || matches!(session.state, State::Detached)) || session.ballot.attempt == 0
@@ -321,7 +327,7 @@
         self.replace_replicas(id, commands);
     }
 
-    /// Writes the whole record to one keeper.
+    /// Writes the complete record to one replica.
     pub(super) fn write_record(&mut self, id: SessionId, member: Member, commands: &mut Vec<Command>) {
         let keep_ms = (self.settings.token_validity_ms * 1.5) as u64;
         let Some(generation) = self.servers.get(&member.server).map(|s| s.lease_generation) else { return };
@@ -352,11 +358,11 @@
         let Some(session) = self.sessions.get_mut(&id) else { return };
         if let State::Claiming(claim) = &mut session.state {
             if claim.ballot == stored.ballot
-                && let Some((pointer, has)) = &mut claim.pending_pointer
+                && let Some((pointer, stored_by)) = &mut claim.pending_pointer
                 && pointer.to.number == stored.pointer
-                && !has.contains(&server.0)
+                && !stored_by.contains(&server.0)
             {
-                has.push(server.0);
+                stored_by.push(server.0);
                 self.on_pointer_stored(id, commands);
             }
             return;
@@ -374,7 +380,7 @@
         self.on_progress(id, commands);
     }
 
-    /// Something of a session is at more keepers than before.
+    /// Continues what depends on the state of the replicas, after one of them has stored something.
     pub(super) fn on_progress(&mut self, id: SessionId, commands: &mut Vec<Command>) {
         self.advance_reconfiguration(id, commands);
         self.send_durable_saves(id, commands);
@@ -383,10 +389,10 @@
 
     fn on_refused(&mut self, server: ServerId, refused: Refused, commands: &mut Vec<Command>) {
         let id = refused.session;
-        let why = Why::try_from(refused.why).unwrap_or(Why::Unknown);
+        let reason = Why::try_from(refused.why).unwrap_or(Why::Unknown);
         let Some(session) = self.sessions.get_mut(&id) else { return };
         if matches!(session.state, State::Claiming(_)) {
-            self.on_claim_refused(server, refused, why, commands);
+            self.on_claim_refused(server, refused, reason, commands);
             return;
         }
         if session.ballot != refused.ballot {
@@ -394,9 +400,9 @@
         }
         let Some(replica) = session.replica_state(server.0) else { return };
         (replica.written_generation, replica.pending_generation) = (None, None);
-        match why {
+        match reason {
             Why::Outbid | Why::Leased | Why::Stale => {
-                // Marked as the member of a life that it never had: it counts no more, and is replaced.
+                // Incarnation 0 never occurs: the replica no longer counts and will be replaced.
                 replica.member.incarnation = 0;
                 replica.upto = 0;
                 let is_superseded = |r: &ReplicaState| r.member.incarnation == 0;
@@ -420,7 +426,7 @@
         }
     }
 
-    /// True if a keeper is to be replaced.
+    /// Returns true if a replica must be replaced.
     fn is_replica_lost(&self, replica: &ReplicaState) -> bool {
         let Some(server) = self.servers.get(&replica.member.server) else { return true };
         let down = match server.link {
@@ -434,7 +440,7 @@
         down || server.listed.is_none_or(|l| !l.ready) || server.full_until > self.now
     }
 
-    /// Begins to replace keepers that are lost.
+    /// Starts a change of configuration if replicas are lost or the holder is one of them.
     fn replace_replicas(&mut self, id: SessionId, commands: &mut Vec<Command>) {
         let Some(session) = self.sessions.get(&id) else { return };
         let is_maintained = matches!(session.state, State::Established | State::Detached);
@@ -442,9 +448,14 @@
             return;
         }
         let holder = session.holder;
-        let lost = |r: &&ReplicaState| self.is_replica_lost(r) || Some(ServerId(r.member.server)) == holder;
-        let remaining: Vec<_> =
-            session.replica_states.iter().filter(|r| !lost(r)).map(|r| ServerId(r.member.server)).collect();
+        let needs_replacement =
+            |r: &&ReplicaState| self.is_replica_lost(r) || Some(ServerId(r.member.server)) == holder;
+        let remaining: Vec<_> = session
+            .replica_states
+            .iter()
+            .filter(|r| !needs_replacement(r))
+            .map(|r| ServerId(r.member.server))
+            .collect();
         if remaining.len() == session.replicas.members.len() && remaining.len() >= self.settings.replicas {
             return;
         }
@@ -455,42 +466,43 @@
             Some(Member { server: s.0, incarnation })
         };
         let Some(members) = chosen.iter().map(member).collect::<Option<Vec<_>>>() else { return };
-        let better = members.iter().any(|m| !session.replicas.members.contains(m))
+        let improves = members.iter().any(|m| !session.replicas.members.contains(m))
             && members.len() >= session.replicas.members.len()
             && holder.is_none_or(|h| !chosen.contains(&h) || chosen.len() == 1);
-        // A majority of those that are must agree; without it there is nothing to be done.
-        if !better || !session.quorum_value(false, |r| r.written_generation.is_some()) {
+        // A majority of the current replicas must agree to a change, which is impossible without one.
+        if !improves || !session.quorum_value(false, |r| r.written_generation.is_some()) {
             return;
         }
         let number = session.replicas.number + 1;
-        let new: Vec<_> = members
+        let added: Vec<_> = members
             .iter()
             .filter(|m| !session.replica_states.iter().any(|r| r.member == **m))
             .copied()
             .collect();
-        let session = self.sessions.get_mut(&id).expect("just seen");
-        // One that has begun anew, or has outbid this owner, gives its place to its new self.
-        session.replica_states.retain(|r| !new.iter().any(|m| m.server == r.member.server));
-        session.replica_states.extend(new.iter().copied().map(ReplicaState::new));
+        let session = self.sessions.get_mut(&id).expect("the session exists");
+        // A server that has restarted or has refused this owner's ballot is replaced by its new incarnation.
+        session.replica_states.retain(|r| !added.iter().any(|m| m.server == r.member.server));
+        session.replica_states.extend(added.iter().copied().map(ReplicaState::new));
         session.next_replicas = Some(Configuration { number, members });
         session.pointers_sent = false;
-        for member in new {
+        for member in added {
             self.sessions_by_replica.entry(member.server).or_default().insert(id);
             self.write_record(id, member, commands);
         }
     }
 
-    /// Goes on with a change of keepers: first the record at a majority of the new ones, then the
-    /// pointer at a majority of the old ones.
+    /// Continues a change of configuration: first the record is written to a majority of the new replicas,
+    /// then the pointer to a majority of the current ones.
     fn advance_reconfiguration(&mut self, id: SessionId, commands: &mut Vec<Command>) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         let Some(next) = session.next_replicas.clone() else { return };
-        let has = |m: &Member, of: &dyn Fn(&ReplicaState) -> bool| {
-            session.replica_states.iter().any(|r| r.member == *m && of(r))
+        let any_state = |m: &Member, condition: &dyn Fn(&ReplicaState) -> bool| {
+            session.replica_states.iter().any(|r| r.member == *m && condition(r))
         };
         if !session.pointers_sent {
-            let written = next.members.iter().filter(|m| has(m, &|r| r.written_generation.is_some())).count();
-            if written < next.majority() {
+            let written_count =
+                next.members.iter().filter(|m| any_state(m, &|r| r.written_generation.is_some())).count();
+            if written_count < next.majority() {
                 return;
             }
             session.pointers_sent = true;
@@ -500,11 +512,12 @@
             self.call_members(&members, &point, commands);
             return;
         }
-        let pointed = session.replicas.members.iter().filter(|m| has(m, &|r| r.has_pointer)).count();
-        if pointed < session.replicas.majority() {
+        let pointer_count =
+            session.replicas.members.iter().filter(|m| any_state(m, &|r| r.has_pointer)).count();
+        if pointer_count < session.replicas.majority() {
             return;
         }
-        let left: Vec<_> = session
+        let removed: Vec<_> = session
             .replica_states
             .iter()
             .map(|r| r.member)
@@ -517,7 +530,7 @@
         session.next_replicas = None;
         session.pointers_sent = false;
         session.next_token_at = self.now;
-        for member in left {
+        for member in removed {
             self.remove_from_replica(member.server, id);
         }
         commands.push(Command::Log(LogEvent::ReplicasChanged { session: id, configuration }));
@@ -525,7 +538,7 @@
         self.queue_review(id);
     }
 
-    /// Another claim has been promised by a majority.
+    /// Handles the loss of a session: a majority has promised another claim.
     pub(super) fn on_taken_over(&mut self, id: SessionId, commands: &mut Vec<Command>) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         let epoch = session.ballot.epoch;
@@ -546,16 +559,16 @@
         }
     }
 
-    /// Tells keepers that a session is nobody's any more.
+    /// Notifies the replicas that a session is released.
     pub(super) fn send_release(
         &self,
         members: &[Member],
         id: SessionId,
         ballot: Ballot,
-        over: bool,
+        session_over: bool,
         commands: &mut Vec<Command>,
     ) {
-        let release = marllink_lease_protocol::Release { session: id, ballot, over };
+        let release = marllink_lease_protocol::Release { session: id, ballot, over: session_over };
         self.call_members(members, &call::Body::Release(release), commands);
     }
 }
--- a/sessions/src/timers.rs
+++ b/sessions/src/timers.rs
@@ -1,59 +1,60 @@
-//! What is due when: each thing has one time at most, and only what is due is looked at.
+//! Timers of the state machine: at most one per key. Only expired timers are visited.
 
 use marllink::Millis;
 use marllink_lease_protocol::SessionId;
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
 
-/// What may be due.
+/// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum TimerKey {
-    /// Something about the link to this server.
+    /// The link to this server.
     Link(u64),
-    /// Something about this session.
+    /// This session.
     Session(SessionId),
-    /// Some sessions' keepers are to be looked at.
+    /// The next batch of reviews of replicas.
     Review,
 }
 
-/// The times, in microseconds so that they have an order.
+/// Pending timers. Times are in microseconds, as integers have a total order.
 #[derive(Debug, Default)]
 pub struct Timers {
-    order: BTreeSet<(u64, TimerKey)>,
-    times: FxHashMap<TimerKey, u64>,
-    /// For when the node was last asked to call back.
-    armed: Option<u64>,
+    queue: BTreeSet<(u64, TimerKey)>,
+    deadlines: FxHashMap<TimerKey, u64>,
+    /// Time of the callback that was last requested from the node.
+    callback_at: Option<u64>,
 }
 
 impl Timers {
-    /// Makes something due then; not at all if that is infinite.
+    /// Sets a timer. An infinite time clears it.
     pub fn set(&mut self, key: TimerKey, at: Millis) {
         self.clear(key);
         if at.is_finite() {
-            // Rounded up: what is looked at a moment too soon would be due again at once, for ever.
+            // Rounded up: a timer that fires slightly early would be set again for the same time, in an
+            // endless loop.
             let at = (at.max(0.0) * 1_000.0).ceil() as u64 + 1;
-            self.order.insert((at, key));
-            self.times.insert(key, at);
+            self.queue.insert((at, key));
+            self.deadlines.insert(key, at);
         }
     }
 
-    /// Makes something due then, unless it is sooner.
+    /// Sets a timer unless it is set for an earlier time.
     pub fn set_earlier(&mut self, key: TimerKey, at: Millis) {
-        if self.times.get(&key).is_none_or(|before| (*before as f64) > at * 1_000.0 + 2.0) {
+        if self.deadlines.get(&key).is_none_or(|before| (*before as f64) > at * 1_000.0 + 2.0) {
             self.set(key, at);
         }
     }
 
-    /// It is not due any more.
+    /// Clears a timer.
     pub fn clear(&mut self, key: TimerKey) {
-        if let Some(before) = self.times.remove(&key) {
-            self.order.remove(&(before, key));
+        if let Some(before) = self.deadlines.remove(&key) {
+            self.queue.remove(&(before, key));
         }
     }
 
-    /// Takes the next that is due.
+    /// Removes and returns the next expired timer.
     pub fn pop_due(&mut self, now: Millis) -> Option<TimerKey> {
-        let (at, key) = *self.order.first()?;
+        let (at, key) = *self.queue.first()?;
         if at as f64 > now * 1_000.0 {
             return None;
         }
@@ -61,18 +62,18 @@
         Some(key)
     }
 
-    /// The node has called back.
+    /// Handles the callback by the node.
     pub fn fired(&mut self) {
-        self.armed = None;
+        self.callback_at = None;
     }
 
-    /// In how long the node is to call back, if that is sooner than it was asked before.
+    /// Returns the delay of the next callback, if it is earlier than the one requested before.
     pub fn next_delay(&mut self, now: Millis) -> Option<Millis> {
-        let (first, _) = *self.order.first()?;
-        if self.armed.is_some_and(|armed| armed <= first) {
+        let (first, _) = *self.queue.first()?;
+        if self.callback_at.is_some_and(|callback_at| callback_at <= first) {
             return None;
         }
-        self.armed = Some(first);
+        self.callback_at = Some(first);
         Some((first as f64 / 1_000.0 - now).max(0.0))
     }
 }
@@ -82,7 +83,7 @@
     use super::*;
 
     #[test]
-    fn nothing_is_due_before_its_time_and_the_node_is_asked_only_for_what_is_sooner() {
+    fn no_timer_fires_early_and_callbacks_are_requested_only_for_earlier_times() {
         let mut timers = Timers::default();
         for (key, at) in
             [(TimerKey::Link(1), 1_000.000_4), (TimerKey::Review, 2_000.0), (TimerKey::Link(2), 3_000.0)]
--- a/sessions/src/token.rs
+++ b/sessions/src/token.rs
@@ -1,8 +1,8 @@
-//! Tokens: what a client carries from one balancer to the next.
+//! Session tokens, which clients present to resume a session at another balancer.
 //!
-//! A token is the base64 (RFC 4648, for URLs, without padding) of a version byte, the key's id in four
-//! bytes (the highest first), a nonce of 24 bytes, and what is sealed with XChaCha20-Poly1305 under
-//! that key, with `marllink-session`, version and id as the associated data.
+//! A token is the URL-safe base64 encoding (RFC 4648, without padding) of a version byte, the id of the key
+//! (4 bytes, big-endian), a nonce of 24 bytes, and the content encrypted with XChaCha20-Poly1305 under that
+//! key. The associated data is `marllink-session`, the version and the key id.
 
 use crate::keys::KeyRing;
 use base64::Engine;
@@ -13,55 +13,56 @@
 use std::fmt;
 
 const VERSION: u8 = 1;
-const CONTEXT: &[u8] = b"marllink-session";
-const NONCE: usize = 24;
-const HEAD: usize = 1 + 4 + NONCE;
-/// No token comes near this, in characters; a longer one is refused unread.
-const LONGEST: usize = 1_024;
-/// Balancers' wall clocks may differ by so much, in milliseconds.
-const SKEW_MS: u64 = 120_000;
+const ASSOCIATED_DATA_PREFIX: &[u8] = b"marllink-session";
+const NONCE_BYTES: usize = 24;
+const HEADER_BYTES: usize = 1 + 4 + NONCE_BYTES;
+/// Maximum length of a token in characters, well above that of any valid token. Longer input is rejected
+/// without decoding.
+const MAX_TOKEN_CHARS: usize = 1_024;
+/// Maximum difference between the wall clocks of two balancers, in milliseconds.
+const MAX_CLOCK_SKEW_MS: u64 = 120_000;
 
-/// What a token says.
+/// Content of a token.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Token {
     /// The session.
     pub session: SessionId,
-    /// The claim under which it was issued.
+    /// Epoch of the claim under which it was issued.
     pub epoch: u64,
-    /// The last save that was confirmed by then.
+    /// Number of the last confirmed save at that time.
     pub upto: u64,
-    /// The form host that held the session.
+    /// The server that held the session.
     pub holder: u64,
-    /// Who keeps what it has saved.
+    /// Replicas of the session.
     #[serde(rename = "keepers")]
     pub replicas: Configuration,
-    /// When it was issued and when it expires: Unix time in milliseconds.
+    /// Time of issue: Unix time in milliseconds.
     pub issued_ms: u64,
-    /// As above.
+    /// Expiry time: Unix time in milliseconds.
     pub expires_ms: u64,
 }
 
-/// Why a token is not good. Clients are not told which.
+/// Reason why a token is invalid. Clients do not learn it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TokenError {
-    /// It is not the base64 of anything as long as a token.
+    /// It is not base64 or has the wrong length.
     Malformed,
-    /// It is of another version.
+    /// Its version is not supported.
     UnsupportedVersion(u8),
-    /// No key in the file has its key's id.
+    /// The key file does not contain the key with this id.
     UnknownKey(u32),
-    /// It was not sealed with that key, or has been changed since.
+    /// It was not sealed with the key it names, or was modified since.
     Forged,
-    /// It was sealed with that key, and says nothing that this version understands.
+    /// It was sealed with that key, but its content cannot be decoded.
     Undecodable,
-    /// Its time is past.
+    /// It has expired.
     Expired,
-    /// It was issued in time to come: a clock is wrong.
+    /// Its time of issue is in the future: a clock is wrong.
     IssuedInFuture,
 }
 
 impl TokenError {
-    /// A stable name, for logs and metrics.
+    /// Returns a stable name for logs and metrics.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -79,13 +80,15 @@
 impl fmt::Display for TokenError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Malformed => f.write_str("no token: wanted is the text after `TOKEN `, whole"),
-            Self::UnsupportedVersion(version) => write!(f, "version {version}; this program reads {VERSION}"),
+            Self::Malformed => f.write_str("malformed: expected the complete text after `TOKEN `"),
+            Self::UnsupportedVersion(version) => {
+                write!(f, "of version {version}, but only version {VERSION} is supported")
+            }
             Self::UnknownKey(id) => write!(f, "sealed with key {id}, which is not in the key file"),
-            Self::Forged => f.write_str("not sealed with the key that it names, or changed since"),
-            Self::Undecodable => f.write_str("sealed with a known key, but of no meaning here"),
+            Self::Forged => f.write_str("not sealed with the key that it names, or modified since"),
+            Self::Undecodable => f.write_str("sealed with a known key, but its content cannot be decoded"),
             Self::Expired => f.write_str("expired"),
-            Self::IssuedInFuture => f.write_str("issued in time to come: a clock is wrong"),
+            Self::IssuedInFuture => f.write_str("issued in the future: a clock is wrong"),
         }
     }
 }
@@ -93,13 +96,13 @@
 impl std::error::Error for TokenError {}
 
 impl Token {
-    /// Seals it with the newest key whose time has come; `None` if there is none. A nonce must not be
-    /// used twice: it is to be drawn at random.
+    /// Encrypts the token with the newest active key. Returns `None` if no key is active. A nonce must never
+    /// be reused: draw it at random.
     #[must_use]
-    pub fn seal(&self, keys: &KeyRing, nonce: [u8; NONCE], unix_ms: f64) -> Option<String> {
-        let (id, cipher) = keys.sealing(unix_ms)?;
-        let plain = postcard::to_allocvec(self).ok()?;
-        let payload = Payload { msg: &plain, aad: &context(id) };
+    pub fn seal(&self, keys: &KeyRing, nonce: [u8; NONCE_BYTES], unix_ms: f64) -> Option<String> {
+        let (id, cipher) = keys.sealing_key(unix_ms)?;
+        let plaintext = postcard::to_allocvec(self).ok()?;
+        let payload = Payload { msg: &plaintext, aad: &associated_data(id) };
         let sealed = cipher.encrypt(&nonce.into(), payload).ok()?;
         let mut bytes = vec![VERSION];
         bytes.extend(id.to_be_bytes());
@@ -108,56 +111,57 @@
         Some(URL_SAFE_NO_PAD.encode(bytes))
     }
 
-    /// Opens a token, whenever it was issued.
+    /// Decrypts a token without checking its validity period.
     ///
     /// # Errors
-    /// Tells why it can't be read.
+    /// Returns the reason why the token cannot be read.
     pub fn unseal(text: &[u8], keys: &KeyRing) -> Result<Self, TokenError> {
-        if text.len() > LONGEST {
+        if text.len() > MAX_TOKEN_CHARS {
             return Err(TokenError::Malformed);
         }
         let bytes = URL_SAFE_NO_PAD.decode(text).map_err(|_| TokenError::Malformed)?;
-        if bytes.len() <= HEAD {
+        if bytes.len() <= HEADER_BYTES {
             return Err(TokenError::Malformed);
         }
         if bytes[0] != VERSION {
             return Err(TokenError::UnsupportedVersion(bytes[0]));
         }
         let id = u32::from_be_bytes([bytes[1], bytes[2], bytes[3], bytes[4]]);
-        let cipher = keys.opening(id).ok_or(TokenError::UnknownKey(id))?;
-        let mut nonce = [0; NONCE];
-        nonce.copy_from_slice(&bytes[5..HEAD]);
-        let payload = Payload { msg: &bytes[HEAD..], aad: &context(id) };
-        let plain = cipher.decrypt(&nonce.into(), payload).map_err(|_| TokenError::Forged)?;
-        postcard::from_bytes(&plain).map_err(|_| TokenError::Undecodable)
+        let cipher = keys.cipher(id).ok_or(TokenError::UnknownKey(id))?;
+        let mut nonce = [0; NONCE_BYTES];
+        nonce.copy_from_slice(&bytes[5..HEADER_BYTES]);
+        let payload = Payload { msg: &bytes[HEADER_BYTES..], aad: &associated_data(id) };
+        let plaintext = cipher.decrypt(&nonce.into(), payload).map_err(|_| TokenError::Forged)?;
+        postcard::from_bytes(&plaintext).map_err(|_| TokenError::Undecodable)
     }
 
-    /// Opens a token that must be good at this Unix time, in milliseconds.
+    /// Decrypts a token and checks that it is valid at this Unix time, in milliseconds.
     ///
     /// # Errors
-    /// Tells why it is not good.
+    /// Returns the reason why the token is invalid.
     pub fn validate(text: &[u8], keys: &KeyRing, unix_ms: f64) -> Result<Self, TokenError> {
         let token = Self::unseal(text, keys)?;
         let now = unix_ms.max(0.0) as u64;
         if token.expires_ms <= now {
             Err(TokenError::Expired)
-        } else if token.issued_ms > now + SKEW_MS {
+        } else if token.issued_ms > now + MAX_CLOCK_SKEW_MS {
             Err(TokenError::IssuedInFuture)
         } else {
             Ok(token)
         }
     }
 
-    /// The id of the key that a token names, whoever sealed it.
+    /// Returns the id of the key that a token names, without checking its authenticity.
     #[must_use]
     pub fn key_id(text: &[u8]) -> Option<u32> {
-        let bytes = URL_SAFE_NO_PAD.decode(text).ok().filter(|b| b.len() > HEAD && b[0] == VERSION)?;
+        let bytes =
+            URL_SAFE_NO_PAD.decode(text).ok().filter(|b| b.len() > HEADER_BYTES && b[0] == VERSION)?;
         Some(u32::from_be_bytes([bytes[1], bytes[2], bytes[3], bytes[4]]))
     }
 }
 
-fn context(id: u32) -> Vec<u8> {
-    [CONTEXT, &[VERSION], &id.to_be_bytes()].concat()
+fn associated_data(id: u32) -> Vec<u8> {
+    [ASSOCIATED_DATA_PREFIX, &[VERSION], &id.to_be_bytes()].concat()
 }
 
 #[cfg(test)]
@@ -166,7 +170,7 @@
     use crate::keys::KeyError;
     use marllink_lease_protocol::Member;
 
-    const NOW: f64 = 1_700_000_000_000.0;
+    const NOW_MS: f64 = 1_700_000_000_000.0;
 
     fn file(keys: &[(u32, u64, &str)]) -> String {
         let key = |(id, from, secret): &(u32, u64, &str)| {
@@ -176,11 +180,12 @@
     }
 
     fn ring(keys: &[(u32, u64, &str)]) -> KeyRing {
-        KeyRing::parse(file(keys).as_bytes(), NOW).expect("it is sound")
+        KeyRing::parse(file(keys).as_bytes(), NOW_MS).expect("the key file is valid")
     }
 
-    const OLD: (u32, u64, &str) = (7, 0, "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff");
-    const NEW: (u32, u64, &str) =
+    const OLD_KEY: (u32, u64, &str) =
+        (7, 0, "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff");
+    const NEW_KEY: (u32, u64, &str) =
         (8, 1_600_000_000, "ff112233445566778899aabbccddeeff00112233445566778899aabbccddeeff");
 
     fn token() -> Token {
@@ -191,76 +196,81 @@
             upto: 400,
             holder: 9,
             replicas: Configuration { number: 2, members },
-            issued_ms: NOW as u64,
-            expires_ms: NOW as u64 + 60_000,
+            issued_ms: NOW_MS as u64,
+            expires_ms: NOW_MS as u64 + 60_000,
         }
     }
 
     #[test]
-    fn a_token_is_opened_by_every_key_of_the_file_and_sealed_by_the_newest_whose_time_has_come() {
-        let later = (9, 1_800_000_000, "aa112233445566778899aabbccddeeff00112233445566778899aabbccddeeff");
-        let old = token().seal(&ring(&[OLD]), [1; 24], NOW).expect("a key seals");
-        let both = ring(&[later, NEW, OLD]);
-        assert_eq!(Token::validate(old.as_bytes(), &both, NOW), Ok(token()));
-        let new = token().seal(&both, [2; 24], NOW).expect("a key seals");
+    fn tokens_are_sealed_with_the_newest_active_key_and_opened_with_any_key_of_the_file() {
+        let future_key =
+            (9, 1_800_000_000, "aa112233445566778899aabbccddeeff00112233445566778899aabbccddeeff");
+        let old = token().seal(&ring(&[OLD_KEY]), [1; 24], NOW_MS).expect("a key is active");
+        let both = ring(&[future_key, NEW_KEY, OLD_KEY]);
+        assert_eq!(Token::validate(old.as_bytes(), &both, NOW_MS), Ok(token()));
+        let new = token().seal(&both, [2; 24], NOW_MS).expect("a key is active");
         assert_eq!(Token::key_id(new.as_bytes()), Some(8));
-        assert_eq!(Token::validate(new.as_bytes(), &ring(&[OLD]), NOW), Err(TokenError::UnknownKey(8)));
-        let future = token().seal(&both, [2; 24], 1_800_000_000_000.0).expect("a key seals");
+        assert_eq!(
+            Token::validate(new.as_bytes(), &ring(&[OLD_KEY]), NOW_MS),
+            Err(TokenError::UnknownKey(8))
+        );
+        let future = token().seal(&both, [2; 24], 1_800_000_000_000.0).expect("a key is active");
         assert_eq!(Token::key_id(future.as_bytes()), Some(9));
     }
 
     #[test]
-    fn whatever_byte_is_changed_or_cut_off_the_token_is_no_good() {
-        let ring = ring(&[OLD, NEW]);
-        let good = token().seal(&ring, [1; 24], NOW).expect("a key seals");
-        assert!(good.len() < 256, "{}", good.len());
-        let bytes = URL_SAFE_NO_PAD.decode(&good).expect("it is base64");
+    fn a_token_with_a_changed_bit_or_a_missing_end_is_rejected() {
+        let ring = ring(&[OLD_KEY, NEW_KEY]);
+        let valid = token().seal(&ring, [1; 24], NOW_MS).expect("a key is active");
+        assert!(valid.len() < 256, "{}", valid.len());
+        let bytes = URL_SAFE_NO_PAD.decode(&valid).expect("the token is base64");
         for at in 0..bytes.len() {
             for bit in 0..8 {
-                let mut bad = bytes.clone();
-                bad[at] ^= 1 << bit;
-                let opened = Token::validate(URL_SAFE_NO_PAD.encode(&bad).as_bytes(), &ring, NOW);
+                let mut modified = bytes.clone();
+                modified[at] ^= 1 << bit;
+                let opened = Token::validate(URL_SAFE_NO_PAD.encode(&modified).as_bytes(), &ring, NOW_MS);
                 let reason = opened.expect_err("one bit was changed");
                 match at {
                     0 => assert!(matches!(reason, TokenError::UnsupportedVersion(_))),
-                    // One bit turns the id 8 into no other that is there.
+                    // No single-bit change turns id 8 into the other existing id.
                     1..5 => assert!(matches!(reason, TokenError::UnknownKey(_)), "{at}: {reason:?}"),
                     _ => assert_eq!(reason, TokenError::Forged),
                 }
             }
         }
-        for end in 0..good.len() {
-            assert!(Token::validate(&good.as_bytes()[..end], &ring, NOW).is_err());
+        for end in 0..valid.len() {
+            assert!(Token::validate(&valid.as_bytes()[..end], &ring, NOW_MS).is_err());
         }
-        let long = good.repeat(20);
-        assert_eq!(Token::validate(long.as_bytes(), &ring, NOW), Err(TokenError::Malformed));
+        let long = valid.repeat(20);
+        assert_eq!(Token::validate(long.as_bytes(), &ring, NOW_MS), Err(TokenError::Malformed));
     }
 
     #[test]
-    fn a_token_is_good_from_its_issue_to_its_expiry() {
-        let ring = ring(&[OLD]);
-        let text = token().seal(&ring, [1; 24], NOW).expect("a key seals");
+    fn a_token_is_valid_from_its_issue_to_its_expiry() {
+        let ring = ring(&[OLD_KEY]);
+        let text = token().seal(&ring, [1; 24], NOW_MS).expect("a key is active");
         let open = |at: f64| Token::validate(text.as_bytes(), &ring, at).map(|_| ());
-        assert_eq!(open(NOW + 59_999.0), Ok(()));
-        assert_eq!(open(NOW + 60_000.0), Err(TokenError::Expired));
-        assert_eq!(open(NOW - 60_000.0), Ok(()));
-        assert_eq!(open(NOW - 600_000.0), Err(TokenError::IssuedInFuture));
+        assert_eq!(open(NOW_MS + 59_999.0), Ok(()));
+        assert_eq!(open(NOW_MS + 60_000.0), Err(TokenError::Expired));
+        assert_eq!(open(NOW_MS - 60_000.0), Ok(()));
+        assert_eq!(open(NOW_MS - 600_000.0), Err(TokenError::IssuedInFuture));
     }
 
     #[test]
-    fn a_key_file_that_is_not_sound_is_refused_and_no_secret_is_told() {
-        let parse =
-            |text: &str| KeyRing::parse(text.as_bytes(), NOW).map(|_| ()).expect_err("it is not sound");
+    fn an_invalid_key_file_is_rejected_without_revealing_secrets() {
+        let parse = |text: &str| {
+            KeyRing::parse(text.as_bytes(), NOW_MS).map(|_| ()).expect_err("the key file is invalid")
+        };
         assert_eq!(parse(r#"{"keys":[]}"#), KeyError::NoKeys);
-        assert_eq!(parse(&file(&[OLD, OLD])), KeyError::DuplicateId(7));
+        assert_eq!(parse(&file(&[OLD_KEY, OLD_KEY])), KeyError::DuplicateId(7));
         assert_eq!(parse(&file(&[(1, 0, "secret")])), KeyError::MalformedSecret(1));
         assert_eq!(parse(&file(&[(1, 0, &"ab".repeat(32))])), KeyError::WeakSecret(1));
-        assert_eq!(parse(&file(&[(1, 1_800_000_000, OLD.2)])), KeyError::NoActiveKey(1_800_000_000));
-        let odd = file(&[OLD]).replace("secret", "secrets");
-        for error in [parse(&odd), parse(&file(&[(1, 0, &OLD.2[1..])])), parse("{")] {
-            assert!(!error.to_string().contains(&OLD.2[1..9]), "{error}");
+        assert_eq!(parse(&file(&[(1, 1_800_000_000, OLD_KEY.2)])), KeyError::NoActiveKey(1_800_000_000));
+        let misspelled_key = file(&[OLD_KEY]).replace("secret", "secrets");
+        for error in [parse(&misspelled_key), parse(&file(&[(1, 0, &OLD_KEY.2[1..])])), parse("{")] {
+            assert!(!error.to_string().contains(&OLD_KEY.2[1..9]), "{error}");
         }
-        let shown = format!("{:?}", ring(&[OLD, NEW]));
+        let shown = format!("{:?}", ring(&[OLD_KEY, NEW_KEY]));
         assert_eq!(shown, "[(7, 0), (8, 1600000000)]");
     }
 }
