--- a/emulator/src/judge.rs
+++ b/emulator/src/checker.rs
@@ -1,6 +1,6 @@
 //! Judges a run by what form hosts and clients wrote down, and by nothing else.
 //!
-//! The rules: a session is held by one form host at a time; no confirmed field is missing where it is
+//! The rules: a session is held by one form host at a time; no confirmed field is missing_saves where it is
 //! resumed; each save is applied once and in order; nobody gets in by a token that is not good; everything
 //! that was asked has one answer.
 
@@ -16,9 +16,9 @@
     /// Times that a session was held again after it had been.
     pub resumed: usize,
     /// Saves that clients were told will last.
-    pub saved: usize,
+    pub confirmed_saves: usize,
     /// Of these, how many are not there where the session went on.
-    pub missing: usize,
+    pub missing_saves: usize,
     /// Saves that were applied again.
     pub applied_twice: usize,
     /// Saves that were applied before one that comes first, or as what no client sent.
@@ -26,13 +26,13 @@
     /// Sessions that two form hosts, or two connections, have held at the same moment.
     pub held_twice: usize,
     /// Connections that stood by a stale or a forged token.
-    pub let_in: usize,
+    pub unauthorized_opens: usize,
     /// Requests that had two answers.
     pub answered_twice: usize,
     /// Requests that ended without an answer, though no fault had cut them off.
     pub unanswered: usize,
     /// Sessions that clients had to give up.
-    pub given_up: usize,
+    pub abandoned_sessions: usize,
     /// The first few findings, in words.
     pub findings: Vec<String>,
 }
@@ -40,12 +40,12 @@
 impl Verdict {
     /// True if no rule was broken.
     #[must_use]
-    pub fn kept(&self) -> bool {
-        self.missing
+    pub fn passed(&self) -> bool {
+        self.missing_saves
             + self.applied_twice
             + self.out_of_order
             + self.held_twice
-            + self.let_in
+            + self.unauthorized_opens
             + self.answered_twice
             + self.unanswered
             == 0
@@ -60,7 +60,7 @@
 
 /// A form host's time with a session, under one ballot.
 #[derive(Debug)]
-struct Turn {
+struct Tenure {
     host: String,
     ballot: Ballot,
     from: Millis,
@@ -69,7 +69,7 @@
 
 /// What a form host had of a session under one ballot.
 #[derive(Debug)]
-struct Part {
+struct SessionCopy {
     at: Millis,
     host: String,
     upto: u64,
@@ -88,7 +88,7 @@
 /// Judges what was written down. `faults_cut` tells whether a fault excuses that a request of this
 /// balancer's, asked and ended at these times, had no answer.
 #[must_use]
-pub fn judge(entries: &[Entry], faults_cut: impl Fn(usize, Millis, Millis) -> bool) -> Verdict {
+pub fn check(entries: &[Entry], faults_cut: impl Fn(usize, Millis, Millis) -> bool) -> Verdict {
     let mut verdict = Verdict::default();
     let (mut turns, mut parts, mut clients) = (HashMap::new(), HashMap::new(), HashMap::new());
     let mut asked: HashMap<(String, u64), (usize, Millis, usize)> = HashMap::new();
@@ -108,17 +108,18 @@
     for session in &names {
         lineage(session, &parts[session], &clients, &mut verdict);
     }
-    verdict.saved = clients.values().filter_map(|c| c.confirmed.last()).map(|(_, n)| *n as usize).sum();
+    verdict.confirmed_saves =
+        clients.values().filter_map(|c| c.confirmed.last()).map(|(_, n)| *n as usize).sum();
     verdict
 }
 
-type Turns = HashMap<String, Vec<Turn>>;
-type Parts = HashMap<String, BTreeMap<Ballot, Part>>;
+type Tenures = HashMap<String, Vec<Tenure>>;
+type SessionCopies = HashMap<String, BTreeMap<Ballot, SessionCopy>>;
 
 fn note(
     entry: &Entry,
-    turns: &mut Turns,
-    parts: &mut Parts,
+    turns: &mut Tenures,
+    parts: &mut SessionCopies,
     clients: &mut HashMap<String, Client>,
     asked: &mut HashMap<(String, u64), (usize, Millis, usize)>,
     verdict: &mut Verdict,
@@ -126,32 +127,32 @@
 ) {
     let (at, by) = (entry.at, &entry.by);
     match &entry.note {
-        Note::Holds { session, ballot } => {
-            let turn = Turn { host: by.clone(), ballot: *ballot, from: at, to: f64::INFINITY };
+        Note::LeaseAcquired { session, ballot } => {
+            let turn = Tenure { host: by.clone(), ballot: *ballot, from: at, to: f64::INFINITY };
             turns.entry(session.clone()).or_default().push(turn);
         }
-        Note::LetsGo { session, ballot, late_ms } => {
+        Note::LeaseReleased { session, ballot, late_ms } => {
             let all = turns.entry(session.clone()).or_default();
             if let Some(turn) = all.iter_mut().rev().find(|t| t.host == *by && t.ballot == *ballot) {
                 turn.to = turn.to.min(at - late_ms);
             }
         }
-        Note::Begins { session, ballot, upto, fields } => {
+        Note::StateLoaded { session, ballot, upto, fields } => {
             let fields = fields.iter().cloned().collect();
-            let part = Part { at, host: by.clone(), upto: *upto, fields, applied: Vec::new() };
+            let part = SessionCopy { at, host: by.clone(), upto: *upto, fields, applied: Vec::new() };
             parts.entry(session.clone()).or_default().insert(*ballot, part);
         }
-        Note::Applies { session, ballot, n, name, value } => {
+        Note::SaveApplied { session, ballot, n, name, value } => {
             if let Some(part) = parts.get_mut(session).and_then(|p| p.get_mut(ballot)) {
                 part.applied.push((at, *n, name.clone(), value.clone()));
             }
         }
-        Note::Sends { n, name, value } => {
+        Note::SaveSent { n, name, value } => {
             let sent = &mut clients.entry(by.clone()).or_default().sent;
             sent.entry(*n).or_default().push((name.clone(), value.clone()));
         }
-        Note::Confirmed { n } => clients.entry(by.clone()).or_default().confirmed.push((at, *n)),
-        Note::Asks { connection, balancer, .. } => {
+        Note::SavesConfirmed { n } => clients.entry(by.clone()).or_default().confirmed.push((at, *n)),
+        Note::OpenSent { connection, balancer, .. } => {
             asked.insert((by.clone(), *connection), (*balancer, at, 0));
         }
         Note::Answered { connection, word, token } => {
@@ -168,22 +169,22 @@
                 ));
             }
             if word == "UP" && matches!(token, TokenKind::Stale | TokenKind::Forged) {
-                verdict.let_in += 1;
+                verdict.unauthorized_opens += 1;
                 verdict.find(format!("{by} was let in at {at:.0} by a {token:?} token"));
             }
         }
-        Note::GivesUp => {
-            verdict.given_up += 1;
+        Note::SessionAbandoned => {
+            verdict.abandoned_sessions += 1;
             verdict.find(format!("{by} had to give its session up at {at:.0}"));
         }
-        Note::Ends { .. } | Note::Full { .. } | Note::Fault { .. } => {}
+        Note::ConnectionEnded { .. } | Note::JournalFull { .. } | Note::Fault { .. } => {}
     }
 }
 
-fn held_twice(session: &str, turns: &[Turn], verdict: &mut Verdict) {
+fn held_twice(session: &str, turns: &[Tenure], verdict: &mut Verdict) {
     let mut order: Vec<_> = turns.iter().filter(|t| t.to > t.from).collect();
     order.sort_by(|a, b| a.from.total_cmp(&b.from));
-    let mut last: Option<&Turn> = None;
+    let mut last: Option<&Tenure> = None;
     for turn in order {
         if let Some(before) = last
             && turn.from < before.to
@@ -209,12 +210,12 @@
 
 fn lineage(
     session: &str,
-    parts: &BTreeMap<Ballot, Part>,
+    parts: &BTreeMap<Ballot, SessionCopy>,
     clients: &HashMap<String, Client>,
     verdict: &mut Verdict,
 ) {
     let values =
-        |p: &Part| p.applied.iter().map(|(.., v)| v.clone()).chain(p.fields.values().cloned()).next();
+        |p: &SessionCopy| p.applied.iter().map(|(.., v)| v.clone()).chain(p.fields.values().cloned()).next();
     let owner = parts.values().find_map(values).and_then(|value| client_of(&value));
     let nobody = Client::default();
     let client = owner.as_ref().and_then(|name| clients.get(name)).unwrap_or(&nobody);
@@ -224,7 +225,7 @@
         // Where the session goes on, all must be there that was confirmed by then.
         let by_then = client.confirmed.iter().rev().find(|(at, _)| *at < part.at).map_or(0, |(_, n)| *n);
         if part.upto < by_then {
-            verdict.missing += (by_then - part.upto) as usize;
+            verdict.missing_saves += (by_then - part.upto) as usize;
             verdict.find(format!(
                 "session {session} went on at {} under {ballot} with {} saves of {by_then} confirmed",
                 part.host, part.upto
@@ -239,7 +240,7 @@
         for (name, values) in &expected {
             let there = part.fields.get(*name);
             if !there.is_some_and(|v| values.contains(&v.as_str())) {
-                verdict.missing += 1;
+                verdict.missing_saves += 1;
                 verdict.find(format!(
                     "session {session} went on at {} under {ballot} with {name} as {there:?}, not {values:?}",
                     part.host
@@ -262,7 +263,7 @@
             upto = *n;
         }
         if Some(*ballot) == latest && upto < last_confirmed {
-            verdict.missing += (last_confirmed - upto) as usize;
+            verdict.missing_saves += (last_confirmed - upto) as usize;
             verdict.find(format!(
                 "session {session} has {upto} saves in the end at {}, and {last_confirmed} were confirmed",
                 part.host
@@ -282,33 +283,33 @@
     fn run(notes: Vec<(Millis, &str, Note)>) -> Verdict {
         let entries: Vec<_> =
             notes.into_iter().map(|(at, by, note)| Entry { at, by: by.into(), note }).collect();
-        judge(&entries, |_, _, _| false)
+        check(&entries, |_, _, _| false)
     }
 
     fn holds(at: Millis, host: &'static str, epoch: u64) -> (Millis, &'static str, Note) {
-        (at, host, Note::Holds { session: "s".into(), ballot: ballot(epoch) })
+        (at, host, Note::LeaseAcquired { session: "s".into(), ballot: ballot(epoch) })
     }
 
     fn lets_go(at: Millis, host: &'static str, epoch: u64, late_ms: Millis) -> (Millis, &'static str, Note) {
-        (at, host, Note::LetsGo { session: "s".into(), ballot: ballot(epoch), late_ms })
+        (at, host, Note::LeaseReleased { session: "s".into(), ballot: ballot(epoch), late_ms })
     }
 
     fn begins(at: Millis, epoch: u64, upto: u64, fields: &[(&str, &str)]) -> (Millis, &'static str, Note) {
         let fields = fields.iter().map(|(n, v)| ((*n).into(), (*v).into())).collect();
-        (at, "h", Note::Begins { session: "s".into(), ballot: ballot(epoch), upto, fields })
+        (at, "h", Note::StateLoaded { session: "s".into(), ballot: ballot(epoch), upto, fields })
     }
 
     fn applies(at: Millis, epoch: u64, n: u64) -> (Millis, &'static str, Note) {
         let (name, value) = ("f".into(), format!("1.{n}."));
-        (at, "h", Note::Applies { session: "s".into(), ballot: ballot(epoch), n, name, value })
+        (at, "h", Note::SaveApplied { session: "s".into(), ballot: ballot(epoch), n, name, value })
     }
 
     fn sends(at: Millis, n: u64) -> (Millis, &'static str, Note) {
-        (at, "d1", Note::Sends { n, name: "f".into(), value: format!("1.{n}.") })
+        (at, "d1", Note::SaveSent { n, name: "f".into(), value: format!("1.{n}.") })
     }
 
     fn confirmed(at: Millis, n: u64) -> (Millis, &'static str, Note) {
-        (at, "d1", Note::Confirmed { n })
+        (at, "d1", Note::SavesConfirmed { n })
     }
 
     #[test]
@@ -326,8 +327,8 @@
             applies(8.0, 2, 2),
             confirmed(9.0, 2),
         ]);
-        assert!(verdict.kept(), "{:?}", verdict.findings);
-        assert_eq!((verdict.sessions, verdict.resumed, verdict.saved), (1, 1, 2));
+        assert!(verdict.passed(), "{:?}", verdict.findings);
+        assert_eq!((verdict.sessions, verdict.resumed, verdict.confirmed_saves), (1, 1, 2));
     }
 
     #[test]
@@ -336,22 +337,30 @@
         assert_eq!(twice.held_twice, 1, "{twice:?}");
         let base = || vec![begins(1.0, 1, 0, &[]), sends(2.0, 1), applies(3.0, 1, 1), confirmed(4.0, 1)];
         let with = |more: Vec<_>| run([base(), more].concat());
-        assert_eq!(with(vec![begins(5.0, 2, 0, &[])]).missing, 2, "resumed without it, and ended without it");
-        assert_eq!(with(vec![begins(5.0, 2, 1, &[])]).missing, 1, "the number is there and the field is not");
-        assert_eq!(with(vec![begins(5.0, 2, 1, &[("f", "1.0.")])]).missing, 1);
+        assert_eq!(
+            with(vec![begins(5.0, 2, 0, &[])]).missing_saves,
+            2,
+            "resumed without it, and ended without it"
+        );
+        assert_eq!(
+            with(vec![begins(5.0, 2, 1, &[])]).missing_saves,
+            1,
+            "the number is there and the field is not"
+        );
+        assert_eq!(with(vec![begins(5.0, 2, 1, &[("f", "1.0.")])]).missing_saves, 1);
         assert_eq!(with(vec![applies(5.0, 1, 1)]).applied_twice, 1);
         assert_eq!(with(vec![begins(5.0, 2, 1, &[("f", "1.1.")]), applies(6.0, 2, 1)]).applied_twice, 1);
         assert_eq!(with(vec![sends(5.0, 2), sends(5.0, 3), applies(6.0, 1, 3)]).out_of_order, 1);
         assert_eq!(with(vec![applies(6.0, 1, 2)]).out_of_order, 1, "nobody sent it");
-        let ask = |token| (1.0, "x", Note::Asks { connection: 1, balancer: 0, token });
+        let ask = |token| (1.0, "x", Note::OpenSent { connection: 1, balancer: 0, token });
         let answer =
             |word: &str, token| (2.0, "x", Note::Answered { connection: 1, word: word.into(), token });
         let good = TokenKind::Good;
         assert_eq!(run(vec![ask(good), answer("UP", good), answer("ERR", good)]).answered_twice, 1);
         assert_eq!(run(vec![ask(good), answer("", good)]).unanswered, 1);
         for token in [TokenKind::Stale, TokenKind::Forged] {
-            assert_eq!(run(vec![ask(token), answer("UP", token)]).let_in, 1);
-            assert!(run(vec![ask(token), answer("ERR", token)]).kept());
+            assert_eq!(run(vec![ask(token), answer("UP", token)]).unauthorized_opens, 1);
+            assert!(run(vec![ask(token), answer("ERR", token)]).passed());
         }
     }
 }
--- a/emulator/src/lib.rs
+++ b/emulator/src/lib.rs
@@ -4,7 +4,7 @@
 //! that virtual time and real sockets run the same. [`platform`] has plain form hosts, discovery and clients on sockets. Nothing here shares code with the deciders
 //! whose work it judges; it shares the syntax of links with them, and no more.
 
-pub mod judge;
+pub mod checker;
 pub mod model;
 pub mod platform;
 pub mod sockets;
--- a/emulator/src/model/crowd/mod.rs
+++ b/emulator/src/model/fluid/mod.rs
@@ -6,8 +6,8 @@
 
 mod client;
 mod discovery;
-mod host;
+mod server;
 
-pub use client::{Class, Client, Gap, Manners};
-pub use discovery::{Calls, Service};
-pub use host::{Answer, Form, Host, Phase, Report};
+pub use client::{Class, Client, ReconnectPolicy, ReconnectReason};
+pub use discovery::{DiscoveryLimits, DiscoveryService};
+pub use server::{Answer, LoadReport, Phase, Server, ServerConfig};
--- a/emulator/src/model/plant.rs
+++ b/emulator/src/model/injected_bug.rs
@@ -5,7 +5,7 @@
 /// A bug.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Plant {
+pub enum InjectedBug {
     /// Keepers promise a session to everybody who asks, and holders say that they let go and do not.
     HeldTwice,
     /// Keepers say that a save is kept and do not keep it.
@@ -16,7 +16,7 @@
     ForgedToken,
 }
 
-impl Plant {
+impl InjectedBug {
     /// All of them.
     pub const ALL: [Self; 4] = [Self::HeldTwice, Self::LostField, Self::DoubleApply, Self::ForgedToken];
 
@@ -32,7 +32,7 @@
     }
 }
 
-impl std::str::FromStr for Plant {
+impl std::str::FromStr for InjectedBug {
     type Err = String;
 
     fn from_str(name: &str) -> Result<Self, String> {
--- a/emulator/src/model/keeper.rs
+++ b/emulator/src/model/lease_replica.rs
@@ -1,7 +1,7 @@
 //! A keeper: what a form host stores of sessions that others hold. `docs/protocol-resume.md` has the
 //! rules; this follows them word by word.
 
-use super::{Millis, Plant};
+use super::{InjectedBug, Millis};
 use marllink_lease_protocol::{
     Append, Ballot, Call, Claim, Confirm, Hold, Holder, Journal, Point, Pointer, Promised, Refused, Release,
     Renewed, Reply, SessionId, Stored, Why, call, reply,
@@ -10,14 +10,14 @@
 
 /// A keeper's records and leases.
 #[derive(Debug)]
-pub struct Keeper {
+pub struct LeaseReplica {
     /// By owner: until when its lease runs.
     leases: HashMap<u64, Millis>,
     records: HashMap<SessionId, Record>,
     /// Records at most.
-    room: usize,
+    max_records: usize,
     swept_at: Millis,
-    plant: Option<Plant>,
+    injected_bug: Option<InjectedBug>,
 }
 
 #[derive(Debug)]
@@ -36,20 +36,20 @@
 }
 
 /// How often records are looked for that nobody needs any more.
-const SWEEP_MS: Millis = 5_000.0;
+const SWEEP_INTERVAL_MS: Millis = 5_000.0;
 /// Pointers that a record keeps: a token may be as many configurations old.
-const MOST_POINTERS: usize = 8;
+const MAX_POINTERS: usize = 8;
 
-impl Keeper {
-    /// An empty one with room for so many records.
+impl LeaseReplica {
+    /// An empty one with max_records for so many records.
     #[must_use]
-    pub fn new(room: usize, plant: Option<Plant>) -> Self {
-        Self { leases: HashMap::new(), records: HashMap::new(), room, swept_at: 0.0, plant }
+    pub fn new(max_records: usize, injected_bug: Option<InjectedBug>) -> Self {
+        Self { leases: HashMap::new(), records: HashMap::new(), max_records, swept_at: 0.0, injected_bug }
     }
 
     /// Answers a call of this owner's.
     pub fn handle(&mut self, now: Millis, owner: u64, call: &Call) -> Option<Reply> {
-        if now - self.swept_at > SWEEP_MS {
+        if now - self.swept_at > SWEEP_INTERVAL_MS {
             self.sweep(now);
         }
         let body = match call.body.as_ref()? {
@@ -74,7 +74,7 @@
 
     /// Records that are kept now.
     #[must_use]
-    pub fn records(&self) -> usize {
+    pub fn record_count(&self) -> usize {
         self.records.len()
     }
 
@@ -94,26 +94,26 @@
 
     fn claim(&mut self, now: Millis, owner: u64, claim: &Claim) -> reply::Body {
         let (session, ballot) = (claim.session, claim.ballot);
-        let plant = self.plant == Some(Plant::HeldTwice);
+        let injected_bug = self.injected_bug == Some(InjectedBug::HeldTwice);
         let left = self.records.get(&session).map_or(0.0, |r| self.left(now, r.owner));
         let Some(record) = self.records.get_mut(&session) else {
             return refused(session, ballot, Why::Unknown, None);
         };
-        if claim.token_epoch < record.confirmed && !plant {
+        if claim.token_epoch < record.confirmed && !injected_bug {
             return refused(session, ballot, Why::Stale, Some(record));
         }
         let free = record.released
             || record.owner == owner
             || left <= 0.0
             || claim.proof.is_some_and(|proof| record.promised <= proof);
-        if !free && !plant {
+        if !free && !injected_bug {
             let reply::Body::Refused(no) = refused(session, ballot, Why::Leased, Some(record)) else {
                 unreachable!("it was just made")
             };
             return reply::Body::Refused(Refused { left_ms: left.ceil() as u32, ..no });
         }
         let again = record.promised == ballot && record.owner == owner;
-        if ballot <= record.promised && !again && !plant {
+        if ballot <= record.promised && !again && !injected_bug {
             return refused(session, ballot, Why::Outbid, Some(record));
         }
         record.promised = ballot;
@@ -135,14 +135,14 @@
 
     fn hold(&mut self, now: Millis, owner: u64, hold: &Hold) -> reply::Body {
         let (session, ballot) = (hold.session, hold.ballot);
-        if !self.records.contains_key(&session) && self.records.len() >= self.room {
+        if !self.records.contains_key(&session) && self.records.len() >= self.max_records {
             return refused(session, ballot, Why::Full, None);
         }
         let before = self.records.remove(&session);
         if let Some(record) = &before {
             let mine = record.owner == owner || record.owner == hold.from;
             let good = ballot > record.promised || ballot == record.promised && mine;
-            if !good && self.plant != Some(Plant::HeldTwice) {
+            if !good && self.injected_bug != Some(InjectedBug::HeldTwice) {
                 let no = refused(session, ballot, Why::Outbid, Some(record));
                 self.records.extend(before.map(|record| (session, record)));
                 return no;
@@ -171,7 +171,7 @@
         let Some(record) = self.records.get_mut(&session) else {
             return refused(session, ballot, Why::Unknown, None);
         };
-        if record.promised > ballot && self.plant != Some(Plant::HeldTwice) {
+        if record.promised > ballot && self.injected_bug != Some(InjectedBug::HeldTwice) {
             return refused(session, ballot, Why::Outbid, Some(record));
         }
         if record.written != ballot || n > record.journal.upto + 1 {
@@ -181,7 +181,7 @@
         record.confirmed = record.confirmed.max(ballot.epoch);
         if n > record.journal.upto {
             record.journal.upto = n;
-            if self.plant != Some(Plant::LostField) {
+            if self.injected_bug != Some(InjectedBug::LostField) {
                 let fields = &mut record.journal.fields;
                 match fields.iter_mut().find(|f| f.name == append.field.name) {
                     Some(field) => *field = append.field.clone(),
@@ -219,7 +219,7 @@
         let number = point.pointer.to.number;
         record.pointers.retain(|p| p.to.number != number);
         record.pointers.push(point.pointer.clone());
-        if record.pointers.len() > MOST_POINTERS {
+        if record.pointers.len() > MAX_POINTERS {
             record.pointers.remove(0);
         }
         let upto = if record.written == ballot { record.journal.upto } else { 0 };
--- a/emulator/src/model/record.rs
+++ b/emulator/src/model/record.rs
@@ -21,14 +21,16 @@
 #[serde(tag = "note", rename_all = "kebab-case")]
 pub enum Note {
     /// A form host holds a session from now on.
-    Holds {
+    #[serde(rename = "holds")]
+    LeaseAcquired {
         /// Which.
         session: String,
         /// Under which ballot.
         ballot: Ballot,
     },
     /// A form host has the state of a session up to this save, with this digest.
-    Begins {
+    #[serde(rename = "begins")]
+    StateLoaded {
         /// Which.
         session: String,
         /// Under which ballot.
@@ -39,7 +41,8 @@
         fields: Vec<(String, String)>,
     },
     /// A form host has applied a save.
-    Applies {
+    #[serde(rename = "applies")]
+    SaveApplied {
         /// Of which session.
         session: String,
         /// Under which ballot.
@@ -52,7 +55,8 @@
         value: String,
     },
     /// A form host holds a session no more, since then.
-    LetsGo {
+    #[serde(rename = "lets-go")]
+    LeaseReleased {
         /// Which.
         session: String,
         /// Under which ballot.
@@ -61,7 +65,8 @@
         late_ms: Millis,
     },
     /// A client has asked for something: a new session, or to resume.
-    Asks {
+    #[serde(rename = "asks")]
+    OpenSent {
         /// Which of its connections.
         connection: u64,
         /// By which balancer.
@@ -79,14 +84,16 @@
         token: TokenKind,
     },
     /// A client's connection has ended after it stood.
-    Ends {
+    #[serde(rename = "ends")]
+    ConnectionEnded {
         /// Which of its connections.
         connection: u64,
         /// How: `MOVE`, `TAKEN`, `BYE`, `closed` or `reset`.
         how: String,
     },
     /// A client has sent a save, for the first time.
-    Sends {
+    #[serde(rename = "sends")]
+    SaveSent {
         /// Its number.
         n: u64,
         /// The field.
@@ -95,17 +102,20 @@
         value: String,
     },
     /// A client was told that its saves up to this one will last.
-    Confirmed {
+    #[serde(rename = "confirmed")]
+    SavesConfirmed {
         /// Which.
         n: u64,
     },
     /// A client was told that its journal has no room.
-    Full {
+    #[serde(rename = "full")]
+    JournalFull {
         /// For which save.
         n: u64,
     },
     /// A client gives its session up, having been told that it can't be resumed.
-    GivesUp,
+    #[serde(rename = "gives-up")]
+    SessionAbandoned,
     /// A fault begins or ends.
     Fault {
         /// Which, in words.
@@ -129,6 +139,6 @@
 
 /// The name of a session, as all write it.
 #[must_use]
-pub fn name(session: SessionId) -> String {
+pub fn session_name(session: SessionId) -> String {
     session.to_string()
 }
--- a/emulator/src/platform/clients.rs
+++ b/emulator/src/platform/clients.rs
@@ -1,7 +1,7 @@
 //! Clients of the platform: each opens once, waits for its answer, talks for a while and leaves.
 
-use super::hosts::pause;
-use super::{Book, Note};
+use super::servers::pause;
+use super::{Note, NoteLog};
 use rand::Rng;
 use rand::rngs::SmallRng;
 use std::net::SocketAddr;
@@ -11,41 +11,46 @@
 
 /// How the clients of a run behave.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Habits {
+pub struct ClientPopulation {
     /// How many come ...
     pub count: usize,
     /// ... evenly over so many ms.
-    pub over_ms: f64,
+    pub arrival_ms: f64,
     /// Their classes by name, each with the time in ms that its clients wait.
     pub classes: Vec<(String, f64)>,
     /// Their tenants by name; may be empty.
     pub tenants: Vec<String>,
-    /// They belong to so many groups; 0 for none.
-    pub groups: u64,
+    /// They belong to so many group_count; 0 for none.
+    pub group_count: u64,
     /// Those that were served stay for so many ms at most.
-    pub stay_ms: f64,
+    pub max_stay_ms: f64,
 }
 
 /// Plays all clients against a balancer; done when the last one is.
-pub async fn play(book: Rc<Book>, balancer: SocketAddr, habits: &Habits, rng: &mut SmallRng) {
+pub async fn run_clients(
+    log: Rc<NoteLog>,
+    balancer: SocketAddr,
+    population: &ClientPopulation,
+    rng: &mut SmallRng,
+) {
     let mut clients = Vec::new();
-    for n in 0..habits.count {
-        let (class, wait_ms) = &habits.classes[rng.random_range(0..habits.classes.len())];
+    for n in 0..population.count {
+        let (class, wait_ms) = &population.classes[rng.random_range(0..population.classes.len())];
         let mut fields = format!("c={class}");
-        if !habits.tenants.is_empty() {
-            fields += &format!(",t={}", habits.tenants[rng.random_range(0..habits.tenants.len())]);
+        if !population.tenants.is_empty() {
+            fields += &format!(",t={}", population.tenants[rng.random_range(0..population.tenants.len())]);
         }
-        if habits.groups > 0 {
-            fields += &format!(",g={:016x}", 0x5c0f_6e1a + rng.random_range(0..habits.groups));
+        if population.group_count > 0 {
+            fields += &format!(",g={:016x}", 0x5c0f_6e1a + rng.random_range(0..population.group_count));
         }
         let id = rng.random::<u64>();
         let line = format!("OPEN {id:016x} {:016x} {fields},d={wait_ms:.0}\r\n", rng.random::<u64>());
-        let from = n as f64 / habits.count as f64 * habits.over_ms;
-        let stay = habits.stay_ms * rng.random::<f64>();
-        let (book, wait_ms) = (book.clone(), *wait_ms);
+        let from = n as f64 / population.count as f64 * population.arrival_ms;
+        let stay = population.max_stay_ms * rng.random::<f64>();
+        let (log, wait_ms) = (log.clone(), *wait_ms);
         clients.push(tokio::task::spawn_local(async move {
             pause(from).await;
-            let _ = client(&book, balancer, id, &line, wait_ms, stay).await;
+            let _ = client(&log, balancer, id, &line, wait_ms, stay).await;
         }));
     }
     for client in clients {
@@ -54,7 +59,7 @@
 }
 
 async fn client(
-    book: &Book,
+    log: &NoteLog,
     balancer: SocketAddr,
     id: u64,
     line: &str,
@@ -64,7 +69,7 @@
     let mut stream = BufReader::new(TcpStream::connect(balancer).await?);
     stream.get_ref().set_nodelay(true)?;
     stream.write_all(line.as_bytes()).await?;
-    book.write(Note::Asked { id, wait_ms });
+    log.record(Note::Asked { id, wait_ms });
     let mut answer = String::new();
     // Longer than it says: what comes late is to be seen as late, and what never comes as missing.
     let answered = tokio::select! {
@@ -73,13 +78,13 @@
     };
     let answer = if answered { answer.trim_end().to_owned() } else { "(end)".to_owned() };
     let up = answer.starts_with("UP ");
-    book.write(Note::Answered { id, line: answer });
+    log.record(Note::Answered { id, line: answer });
     if !up {
         return Ok(());
     }
-    let until = book.now() + stay_ms;
+    let until = log.now() + stay_ms;
     let mut said = 0;
-    while book.now() < until {
+    while log.now() < until {
         said += 1;
         stream.write_all(format!("field {said}\r\n").as_bytes()).await?;
         let mut back = String::new();
--- a/emulator/src/platform/discovery.rs
+++ b/emulator/src/platform/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery by HTTP: asked by the balancer, or an agent on its machine that pushes.
 
-use super::hosts::pause;
-use super::{Book, Host, Note};
+use super::servers::pause;
+use super::{Note, NoteLog, Server};
 use std::cell::{Cell, RefCell};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
@@ -10,7 +10,7 @@
 use tokio::sync::Notify;
 
 /// A watch brings an empty line this often while nothing changes, in ms.
-const EMPTY_MS: f64 = 2_000.0;
+const WATCH_HEARTBEAT_MS: f64 = 2_000.0;
 
 /// How a form host is listed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,8 +35,8 @@
 
 /// Discovery of some form hosts.
 pub struct Discovery {
-    book: Rc<Book>,
-    hosts: Vec<Rc<Host>>,
+    log: Rc<NoteLog>,
+    hosts: Vec<Rc<Server>>,
     zones: Vec<String>,
     states: RefCell<Vec<State>>,
     rev: Cell<u64>,
@@ -44,24 +44,24 @@
     /// It learns nothing and says nothing.
     down: Cell<bool>,
     address: SocketAddr,
-    /// It claims to have told what it keeps to itself: a fault that the judge has to find.
-    mum: bool,
+    /// It claims to have told what it keeps to itself: a fault that the check has to find.
+    withholds_drains: bool,
 }
 
 impl Discovery {
-    /// Discovery of these, in zones by turns. `mum` plants a fault: drains are noted as told and never written.
+    /// Discovery of these, in zones by turns. `withholds_drains` plants a fault: drains are noted as told and never written.
     ///
     /// # Errors
     /// Fails if no address is free.
     pub async fn start(
-        book: Rc<Book>,
-        hosts: Vec<Rc<Host>>,
+        log: Rc<NoteLog>,
+        hosts: Vec<Rc<Server>>,
         zones: Vec<String>,
-        mum: bool,
+        withholds_drains: bool,
     ) -> std::io::Result<Rc<Self>> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let this = Rc::new(Self {
-            book,
+            log,
             states: RefCell::new(vec![State::Serving; hosts.len()]),
             hosts,
             zones,
@@ -69,7 +69,7 @@
             changed: Notify::new(),
             down: Cell::new(false),
             address: listener.local_addr()?,
-            mum,
+            withholds_drains,
         });
         let discovery = this.clone();
         tokio::task::spawn_local(async move {
@@ -90,10 +90,10 @@
     }
 
     /// A form host is so from now on.
-    pub fn set(&self, host: usize, state: State) {
+    pub fn set_state(&self, host: usize, state: State) {
         self.states.borrow_mut()[host] = state;
-        if self.mum {
-            self.book.write(Note::Told { host, state });
+        if self.withholds_drains {
+            self.log.record(Note::Told { host, state });
             return;
         }
         self.rev.set(self.rev.get() + 1);
@@ -102,7 +102,7 @@
 
     /// It is down from now on, or back. While it is down it neither answers nor says that nothing has changed; what
     /// has changed meanwhile is told at its return.
-    pub fn down(&self, down: bool) {
+    pub fn set_down(&self, down: bool) {
         self.down.set(down);
         self.changed.notify_waiters();
     }
@@ -120,7 +120,7 @@
     /// The list as it is now, whole.
     #[must_use]
     pub fn list(&self) -> String {
-        let entry = |(n, host): (usize, &Rc<Host>)| {
+        let entry = |(n, host): (usize, &Rc<Server>)| {
             let state = self.states.borrow()[n];
             (state != State::Deleted).then(|| {
                 format!(
@@ -141,7 +141,7 @@
         for (host, state) in self.states.borrow().iter().enumerate() {
             if told[host] != *state {
                 told[host] = *state;
-                self.book.write(Note::Told { host, state: *state });
+                self.log.record(Note::Told { host, state: *state });
             }
         }
     }
@@ -172,12 +172,12 @@
             let text = if news { self.list() } else { String::new() };
             written = self.rev.get();
             stream.write_all(format!("{:x}\r\n{text}\n\r\n", text.len() + 1).as_bytes()).await?;
-            if news && !self.mum {
+            if news && !self.withholds_drains {
                 self.note(&mut told);
             }
             tokio::select! {
                 () = changed => {}
-                () = pause(EMPTY_MS) => {}
+                () = pause(WATCH_HEARTBEAT_MS) => {}
             }
         }
     }
--- a/emulator/src/platform/mod.rs
+++ b/emulator/src/platform/mod.rs
@@ -1,19 +1,21 @@
 //! Plain stand-ins by the platform's protocol: form hosts, discovery (asked, or pushed by an agent) and clients
-//! on loopback sockets, on one thread and in real time; each writes what it sees into one [`Book`], and
-//! [`rules::judge`] reads nothing else.
+//! on loopback sockets, on one thread and in real time; each writes what it sees into one [`NoteLog`], and
+//! [`rules::check`] reads nothing else.
 
 mod clients;
 mod discovery;
-mod hosts;
 mod mixed;
-mod returning;
+mod reconnecting;
 pub mod rules;
+mod servers;
 
-pub use clients::{Habits, play};
+pub use clients::{ClientPopulation, run_clients};
 pub use discovery::{Discovery, State};
-pub use hosts::{Host, Manner};
-pub use mixed::{ALL_KINDS, CLASS_SHIFT, ClassOf, ClientKind, Entrance, MixedClient, PROCESS_SHIFT};
-pub use returning::{BALANCER_BITS, Returning, Table};
+pub use mixed::{
+    ALL_CLIENT_KINDS, BalancerEndpoint, CLASS_SHIFT, ClientClass, ClientKind, MixedClient, PROCESS_SHIFT,
+};
+pub use reconnecting::{BALANCER_SHIFT, ReconnectPool, ReconnectingClient};
+pub use servers::{Server, ServerBehavior};
 
 use crate::model::Millis;
 use std::cell::RefCell;
@@ -116,12 +118,12 @@
 
 /// What all have seen, in the order in which they saw it, each with its time.
 #[derive(Debug)]
-pub struct Book {
+pub struct NoteLog {
     origin: Instant,
     notes: RefCell<Vec<(Millis, Note)>>,
 }
 
-impl Book {
+impl NoteLog {
     /// An empty one whose clock begins now.
     #[must_use]
     pub fn new() -> Rc<Self> {
@@ -130,7 +132,7 @@
 
     /// Another empty one by the same clock.
     #[must_use]
-    pub fn beside(&self) -> Rc<Self> {
+    pub fn with_same_clock(&self) -> Rc<Self> {
         Rc::new(Self { origin: self.origin, notes: RefCell::default() })
     }
 
@@ -141,7 +143,7 @@
     }
 
     /// Writes something down.
-    pub fn write(&self, note: Note) {
+    pub fn record(&self, note: Note) {
         self.notes.borrow_mut().push((self.now(), note));
     }
 
--- a/emulator/src/platform/rules.rs
+++ b/emulator/src/platform/rules.rs
@@ -5,45 +5,45 @@
 use std::collections::BTreeMap;
 
 /// Time limits hold to so many ms.
-const SLACK_MS: Millis = 50.0;
+const TOLERANCE_MS: Millis = 50.0;
 /// No attempt begins so long after its client left: 0.1 s, and 0.15 s for a balancer that was held up.
-const LEFT_MS: Millis = 250.0;
+const MAX_START_AFTER_LEAVE_MS: Millis = 250.0;
 /// A client that stopped in the middle of its line is released within this.
-const STOPPED_MS: Millis = 3_000.0;
+const MAX_RELEASE_MS: Millis = 3_000.0;
 /// What a client of a moment ago was told is on its way while its balancer is killed.
-const KILL_MS: Millis = 250.0;
+const KILL_MARGIN_MS: Millis = 250.0;
 
 /// The figures of a deployment's rules.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Rules {
     /// Attempts for a request at most.
-    pub attempts: usize,
+    pub max_attempts: usize,
     /// A form host may be sent to for so many ms after it was told as draining or gone.
-    pub grace_ms: Millis,
+    pub drain_grace_ms: Millis,
     /// `BUSY` may say when to come again, up to so many ms; `None` where it may not.
-    pub advice_ms: Option<Millis>,
+    pub max_retry_after_ms: Option<Millis>,
     /// Whether requests of a class must not run twice, by the class's number in their ids; the others may.
-    pub once: Vec<bool>,
+    pub non_idempotent: Vec<bool>,
 }
 
 impl Rules {
-    fn is_once(&self, id: u64) -> bool {
+    fn is_non_idempotent(&self, id: u64) -> bool {
         let class = (id >> CLASS_SHIFT & 0xf) as usize;
-        self.once.get(class).copied().unwrap_or(false)
+        self.non_idempotent.get(class).copied().unwrap_or(false)
     }
 }
 
-/// What was found. Faults of safety hold on any machine; late ones may be the machine's.
+/// What was findings. Faults of safety hold on any machine; late ones may be the machine's.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Found {
+pub struct Findings {
     /// Requests, and how many of them were served.
-    pub asked: usize,
+    pub requests: usize,
     /// As above.
     pub served: usize,
     /// Attempts that came to form hosts.
-    pub sent: usize,
+    pub attempts: usize,
     /// Rules of safety that were broken, in words.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// Bounds on time that were exceeded, in words.
     pub late: Vec<String>,
 }
@@ -65,8 +65,8 @@
 
 /// Judges a run. The clients' waits are bounds on time; so is the grace of a drain.
 #[must_use]
-pub fn judge(notes: &[(Millis, Note)], rules: &Rules) -> Found {
-    let mut found = Found::default();
+pub fn check(notes: &[(Millis, Note)], rules: &Rules) -> Findings {
+    let mut findings = Findings::default();
     let mut requests = BTreeMap::<u64, Request>::new();
     let mut told = BTreeMap::<usize, Millis>::new();
     let mut stopped = BTreeMap::<u64, Millis>::new();
@@ -80,33 +80,44 @@
             // Told again it stays told from the first time.
             Note::Told { host, .. } => _ = told.entry(*host).or_insert(*at),
             Note::Sent { id, host, since, wait_ms } => {
-                found.sent += 1;
+                findings.attempts += 1;
                 let request = requests.entry(*id).or_default();
                 request.sent += 1;
                 if let Some(other) = request.out.replace(*host) {
-                    found.broken.push(format!(
-                        "{id:x}: two attempts at once, at hosts {other} and {host}, {at:.0} ms"
+                    findings.violations.push(format!(
+                        "{id:x}: two max_attempts at non_idempotent, at hosts {other} and {host}, {at:.0} ms"
                     ));
                 }
-                if request.may_have_run && rules.is_once(*id) {
-                    found.broken.push(format!("{id:x}: sent again though it may have run, {at:.0} ms"));
+                if request.may_have_run && rules.is_non_idempotent(*id) {
+                    findings
+                        .violations
+                        .push(format!("{id:x}: sent again though it may have run, {at:.0} ms"));
                 }
-                if let Some(left) = request.left.filter(|left| since - *left > LEFT_MS + SLACK_MS) {
-                    found.broken.push(format!("{id:x}: begun {:.0} ms after its client left", since - left));
+                if let Some(left) =
+                    request.left.filter(|left| since - *left > MAX_START_AFTER_LEAVE_MS + TOLERANCE_MS)
+                {
+                    findings
+                        .violations
+                        .push(format!("{id:x}: begun {:.0} ms after its client left", since - left));
                 }
-                if request.sent > rules.attempts {
-                    found.broken.push(format!("{id:x}: more than {} attempts, {at:.0} ms", rules.attempts));
+                if request.sent > rules.max_attempts {
+                    findings
+                        .violations
+                        .push(format!("{id:x}: more than {} max_attempts, {at:.0} ms", rules.max_attempts));
                 }
                 match request.asked {
-                    None => found.broken.push(format!("{id:x}: sent and never asked for, {at:.0} ms")),
+                    None => findings.violations.push(format!("{id:x}: sent and never asked for, {at:.0} ms")),
                     Some((_, wait)) if *wait_ms > wait => {
-                        found.broken.push(format!("{id:x}: says {wait_ms} ms where the client waits {wait}"));
+                        findings
+                            .violations
+                            .push(format!("{id:x}: says {wait_ms} ms where the client waits {wait}"));
                     }
                     Some(_) => {}
                 }
-                if let Some(drained) = told.get(host).filter(|told| since - *told > rules.grace_ms + SLACK_MS)
+                if let Some(drained) =
+                    told.get(host).filter(|told| since - *told > rules.drain_grace_ms + TOLERANCE_MS)
                 {
-                    found.broken.push(format!(
+                    findings.violations.push(format!(
                         "{id:x}: host {host} was told as leaving at {drained:.0} ms and sent to at {since:.0} ms"
                     ));
                 }
@@ -121,8 +132,8 @@
             Note::StoppedMidLine { id } => _ = stopped.insert(*id, *at),
             Note::Released { id } => {
                 let since = stopped.remove(id).unwrap_or(*at);
-                if at - since > STOPPED_MS + SLACK_MS {
-                    found.late.push(format!("{id:x}: released {:.0} ms after it stopped", at - since));
+                if at - since > MAX_RELEASE_MS + TOLERANCE_MS {
+                    findings.late.push(format!("{id:x}: released {:.0} ms after it stopped", at - since));
                 }
             }
             Note::Killed => {
@@ -138,56 +149,61 @@
     }
     for (id, since) in stopped {
         if !kills.iter().any(|at| *at >= since) {
-            found.broken.push(format!("{id:x}: stopped in the middle of its line and never released"));
+            findings.violations.push(format!("{id:x}: stopped in the middle of its line and never released"));
         }
     }
     for (id, request) in &requests {
         let Some((asked, wait)) = request.asked else { continue };
-        found.asked += 1;
+        findings.requests += 1;
         let Some((at, line)) = request.answers.first() else {
             if request.left.is_none() && !request.cut {
-                found.broken.push(format!("{id:x}: no answer"));
+                findings.violations.push(format!("{id:x}: no answer"));
             }
             continue;
         };
         let since = request.connected.unwrap_or(asked);
-        let killed = kills.iter().any(|kill| (since - KILL_MS..at + KILL_MS).contains(kill));
+        let killed = kills.iter().any(|kill| (since - KILL_MARGIN_MS..at + KILL_MARGIN_MS).contains(kill));
         if line == "(end)" && (request.cut || killed) {
             continue;
         }
-        if rules.is_once(*id) && request.may_have_run && line.starts_with("BUSY") {
-            found.broken.push(format!("{id:x}: answered \"{line}\" though it may have run"));
+        if rules.is_non_idempotent(*id) && request.may_have_run && line.starts_with("BUSY") {
+            findings.violations.push(format!("{id:x}: answered \"{line}\" though it may have run"));
         }
         if request.answers.len() > 1 {
-            found.broken.push(format!("{id:x}: {} answers", request.answers.len()));
+            findings.violations.push(format!("{id:x}: {} answers", request.answers.len()));
         }
-        if at - asked > wait + SLACK_MS {
-            found.late.push(format!("{id:x}: answered after {:.0} ms, waits {wait:.0}", at - asked));
+        if at - asked > wait + TOLERANCE_MS {
+            findings.late.push(format!("{id:x}: answered after {:.0} ms, waits {wait:.0}", at - asked));
         }
         let wrong = match line.split_once(' ') {
             Some(("UP", receipt)) => {
-                found.served += 1;
+                findings.served += 1;
                 !request.receipts.iter().any(|given| given == receipt)
             }
             Some(("BUSY", ms)) => {
                 let ms = ms.parse::<f64>().unwrap_or(f64::INFINITY);
-                rules.advice_ms.is_none_or(|most| ms > most)
+                rules.max_retry_after_ms.is_none_or(|most| ms > most)
             }
             // Without a word the balancer has lost it.
             _ => line == "(end)",
         };
         if wrong {
-            found.broken.push(format!("{id:x}: answered \"{line}\", which nobody gave or may give"));
+            findings.violations.push(format!("{id:x}: answered \"{line}\", which nobody gave or may give"));
         }
     }
-    found
+    findings
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    const RULES: Rules = Rules { attempts: 2, grace_ms: 500.0, advice_ms: None, once: Vec::new() };
+    const RULES: Rules = Rules {
+        max_attempts: 2,
+        drain_grace_ms: 500.0,
+        max_retry_after_ms: None,
+        non_idempotent: Vec::new(),
+    };
 
     fn sent(id: u64, host: usize, since: Millis) -> (Millis, Note) {
         (since + 1.0, Note::Sent { id, host, since, wait_ms: 900.0 })
@@ -206,7 +222,7 @@
     }
 
     fn broken(notes: &[(Millis, Note)]) -> String {
-        judge(notes, &RULES).broken.join("; ")
+        check(notes, &RULES).violations.join("; ")
     }
 
     #[test]
@@ -214,21 +230,21 @@
         let receipt = (30.0, Note::Receipt { id: 1, receipt: "9".into() });
         let notes =
             [asked(1), sent(1, 0, 1.0), over(5.0, 1, 0), sent(1, 1, 8.0), receipt, answered(31.0, 1, "UP 9")];
-        let found = judge(&notes, &RULES);
-        assert_eq!((found.asked, found.served, found.sent), (1, 1, 2));
-        assert!(found.broken.is_empty() && found.late.is_empty(), "{found:?}");
+        let findings = check(&notes, &RULES);
+        assert_eq!((findings.requests, findings.served, findings.attempts), (1, 1, 2));
+        assert!(findings.violations.is_empty() && findings.late.is_empty(), "{findings:?}");
     }
 
     #[test]
     fn each_rule_is_found_broken_by_its_own_fault() {
         let end = answered(40.0, 1, "BUSY");
         let two = [asked(1), sent(1, 0, 1.0), sent(1, 1, 2.0), over(3.0, 1, 0), over(4.0, 1, 1), end.clone()];
-        assert!(broken(&two).contains("two attempts at once"));
+        assert!(broken(&two).contains("two max_attempts at non_idempotent"));
         let again = |host| [sent(1, host, 1.0), over(2.0, 1, host)];
         let mut many = vec![asked(1)];
         (0..3).for_each(|host| many.extend(again(host)));
         many.push(end.clone());
-        assert!(broken(&many).contains("more than 2 attempts"));
+        assert!(broken(&many).contains("more than 2 max_attempts"));
         assert!(broken(&[asked(1)]).contains("no answer"));
         assert!(broken(&[asked(1), end.clone(), end.clone()]).contains("2 answers"));
         assert!(broken(&[asked(1), answered(9.0, 1, "(end)")]).contains("(end)"));
@@ -239,7 +255,7 @@
         let after = |since| [asked(1), told.clone(), sent(1, 0, since), over(900.0, 1, 0), end.clone()];
         assert!(broken(&after(651.0)).contains("told as leaving"));
         assert_eq!(broken(&after(649.0)), "");
-        assert_eq!(judge(&[asked(1), answered(1_051.0, 1, "BUSY")], &RULES).late.len(), 1);
+        assert_eq!(check(&[asked(1), answered(1_051.0, 1, "BUSY")], &RULES).late.len(), 1);
     }
 
     #[test]
--- a/emulator/src/platform/hosts.rs
+++ b/emulator/src/platform/servers.rs
@@ -1,6 +1,6 @@
 //! Form hosts as the balancer meets them.
 
-use super::{Book, Note, opening};
+use super::{Note, NoteLog, opening};
 use std::cell::{Cell, RefCell};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 
 /// How a form host treats new connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
+pub enum ServerBehavior {
     /// It serves.
     Serves,
     /// It turns them away unseen.
@@ -35,11 +35,11 @@
 }
 
 /// A form host.
-pub struct Host {
-    book: Rc<Book>,
+pub struct Server {
+    log: Rc<NoteLog>,
     number: usize,
     address: SocketAddr,
-    manner: Cell<Manner>,
+    behavior: Cell<ServerBehavior>,
     /// What it says of itself to who asks; nothing where the deployment has no reports.
     report: Option<String>,
     probes: bool,
@@ -47,23 +47,23 @@
     tasks: RefCell<Vec<JoinHandle<()>>>,
 }
 
-impl Host {
+impl Server {
     /// One that serves at an address of its own.
     ///
     /// # Errors
     /// Fails if no address is free.
     pub async fn start(
-        book: Rc<Book>,
+        log: Rc<NoteLog>,
         number: usize,
         probes: bool,
         report: Option<String>,
     ) -> std::io::Result<Rc<Self>> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let host = Rc::new(Self {
-            book,
+            log,
             number,
             address: listener.local_addr()?,
-            manner: Cell::new(Manner::Serves),
+            behavior: Cell::new(ServerBehavior::Serves),
             report,
             probes,
             stopped: Notify::new(),
@@ -90,8 +90,8 @@
     }
 
     /// Treats new connections so from now on.
-    pub fn behave(&self, manner: Manner) {
-        self.manner.set(manner);
+    pub fn set_behavior(&self, behavior: ServerBehavior) {
+        self.behavior.set(behavior);
     }
 
     /// It ends: what is open is cut off, and nobody listens any more.
@@ -108,13 +108,13 @@
             if stream.fill_buf().await?.is_empty() {
                 return Ok(());
             }
-            let since = self.book.now();
+            let since = self.log.now();
             let mut line = String::new();
             stream.read_line(&mut line).await?;
             if let Some((id, wait_ms)) = opening(&line) {
                 return self.open(stream, id, since, wait_ms).await;
             }
-            if self.manner.get() == Manner::Gone {
+            if self.behavior.get() == ServerBehavior::Gone {
                 return stream.get_ref().set_zero_linger();
             }
             let report = self.report.as_deref().unwrap_or_default();
@@ -139,11 +139,11 @@
             tokio::task::yield_now().await;
         }
         let host = self.number;
-        self.book.write(Note::Sent { id, host, since, wait_ms });
-        let over = |how: &str| self.book.write(Note::Over { id, host, how: how.to_owned() });
-        match self.manner.get() {
-            Manner::Serves | Manner::BreaksAfter(_) | Manner::Pieces => {}
-            Manner::Slow(ms) => {
+        self.log.record(Note::Sent { id, host, since, wait_ms });
+        let over = |how: &str| self.log.record(Note::Over { id, host, how: how.to_owned() });
+        match self.behavior.get() {
+            ServerBehavior::Serves | ServerBehavior::BreaksAfter(_) | ServerBehavior::Pieces => {}
+            ServerBehavior::Slow(ms) => {
                 let mut line = String::new();
                 tokio::select! {
                     _ = stream.read_line(&mut line) => {
@@ -153,19 +153,19 @@
                     () = pause(f64::from(ms)) => {}
                 }
             }
-            Manner::Busy => {
+            ServerBehavior::Busy => {
                 over("BUSY");
                 return stream.write_all(b"BUSY\r\n").await;
             }
-            Manner::Errs => {
+            ServerBehavior::Errs => {
                 over("ERR");
                 return stream.write_all(b"ERR\r\n").await;
             }
-            Manner::Resets | Manner::Gone => {
+            ServerBehavior::Resets | ServerBehavior::Gone => {
                 over("(reset)");
                 return stream.get_ref().set_zero_linger();
             }
-            Manner::Mute => {
+            ServerBehavior::Mute => {
                 let mut line = String::new();
                 while stream.read_line(&mut line).await.is_ok_and(|read| read > 0) {
                     line.clear();
@@ -175,17 +175,17 @@
             }
         }
         let receipt = format!("{:x}", id.rotate_left(17) ^ host as u64);
-        self.book.write(Note::Receipt { id, receipt: receipt.clone() });
+        self.log.record(Note::Receipt { id, receipt: receipt.clone() });
         over("UP");
         let answer = format!("UP {receipt}\r\n");
-        match self.manner.get() {
-            Manner::Pieces => {
+        match self.behavior.get() {
+            ServerBehavior::Pieces => {
                 for byte in answer.as_bytes() {
                     stream.write_all(&[*byte]).await?;
                     tokio::task::yield_now().await;
                 }
             }
-            Manner::BreaksAfter(ms) => {
+            ServerBehavior::BreaksAfter(ms) => {
                 stream.write_all(answer.as_bytes()).await?;
                 pause(f64::from(ms)).await;
                 return stream.get_ref().set_zero_linger();
--- a/emulator/src/sockets/discovery.rs
+++ b/emulator/src/sockets/discovery.rs
@@ -1,6 +1,6 @@
-//! Discovery: the list of form hosts by HTTP, whole or as a watch, with news that come late.
+//! Discovery: the list of form servers by HTTP, whole or as a watch, with news that come late.
 
-use super::{Hosts, sleep};
+use super::{Servers, sleep};
 use crate::model::Millis;
 use std::cell::{Cell, RefCell};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -11,17 +11,17 @@
 use tokio::sync::Notify;
 
 /// A watch brings an empty line this often while nothing changes.
-const EMPTY_MS: Millis = 2_000.0;
+const WATCH_HEARTBEAT_MS: Millis = 2_000.0;
 
 /// Discovery for all balancers.
 pub struct Discovery {
-    hosts: Rc<Hosts>,
+    servers: Rc<Servers>,
     /// Zones, in turn.
     zones: Vec<String>,
     /// News come so late.
     late_ms: Cell<Millis>,
     rev: Cell<u64>,
-    /// As told: whether each host runs, and since when.
+    /// As told: whether each server runs, and since when.
     told: RefCell<Vec<(bool, Millis)>>,
     draining: RefCell<Vec<usize>>,
     changed: Notify,
@@ -35,16 +35,16 @@
     /// # Errors
     /// Fails if no address is free.
     pub async fn start(
-        hosts: Rc<Hosts>,
+        servers: Rc<Servers>,
         balancers: usize,
         zones: Vec<String>,
         late_ms: Millis,
         now: Millis,
     ) -> std::io::Result<Rc<Self>> {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1_000.0;
-        let told = (0..hosts.count()).map(|h| hosts.state(h)).collect();
+        let told = (0..servers.count()).map(|h| servers.state(h)).collect();
         let this = Rc::new(Self {
-            hosts,
+            servers,
             zones,
             late_ms: Cell::new(late_ms),
             rev: Cell::new(1),
@@ -79,7 +79,7 @@
         self.addresses.borrow()[balancer]
     }
 
-    /// Form hosts are listed as draining, or as serving again.
+    /// Form servers are listed as draining, or as serving again.
     pub fn drain(&self, h: usize, drains: bool) {
         self.draining.borrow_mut().retain(|other| *other != h);
         if drains {
@@ -89,11 +89,11 @@
         self.changed.notify_waiters();
     }
 
-    /// Passes on what becomes of form hosts, late.
+    /// Passes on what becomes of form servers, late.
     async fn follow(self: Rc<Self>) {
         loop {
-            self.hosts.changed.notified().await;
-            let now: Vec<_> = (0..self.hosts.count()).map(|h| self.hosts.state(h)).collect();
+            self.servers.changed.notified().await;
+            let now: Vec<_> = (0..self.servers.count()).map(|h| self.servers.state(h)).collect();
             let discovery = self.clone();
             tokio::task::spawn_local(async move {
                 sleep(discovery.late_ms.get()).await;
@@ -114,8 +114,8 @@
             let boot_ms = if *since > 0.0 { (self.unix_at_zero + since) as u64 } else { 0 };
             format!(
                 r#"{{"uid":"{}","endpoint":"{}","az":"{}","model":"m","pod_group":0,"state":"{}","capacity_hint":1.0,"boot_ms":{boot_ms}}}"#,
-                self.hosts.name(h),
-                self.hosts.address(h, balancer),
+                self.servers.name(h),
+                self.servers.address(h, balancer),
                 self.zones[h % self.zones.len()],
                 if drains { "DRAINING" } else { "SERVING" },
             )
@@ -146,7 +146,7 @@
             stream.write_all(format!("{:x}\r\n{text}\n\r\n", text.len() + 1).as_bytes()).await?;
             tokio::select! {
                 () = changed => {}
-                () = sleep(EMPTY_MS) => {}
+                () = sleep(WATCH_HEARTBEAT_MS) => {}
             }
         }
     }
--- a/emulator/src/sockets/mod.rs
+++ b/emulator/src/sockets/mod.rs
@@ -1,12 +1,12 @@
-//! The stand-ins on loopback sockets: form hosts, discovery and drafters on one thread, in real time.
+//! The stand-ins on loopback sockets: form servers, discovery and clients on one thread, in real time.
 
 mod clients;
 mod discovery;
-mod hosts;
+mod servers;
 
-pub use clients::{Clients, Thief};
+pub use clients::{Impostor, SessionClients};
 pub use discovery::Discovery;
-pub use hosts::{HostFault, Hosts, Traits};
+pub use servers::{ServerConfig, ServerFault, Servers};
 
 use crate::model::{Entry, Millis, Note};
 use std::cell::RefCell;
@@ -15,12 +15,12 @@
 
 /// The experiment's clock, and what everybody writes down by it.
 #[derive(Debug)]
-pub struct Ledger {
+pub struct EntryLog {
     origin: Instant,
     entries: RefCell<Vec<Entry>>,
 }
 
-impl Ledger {
+impl EntryLog {
     /// An empty one whose clock begins now.
     #[must_use]
     pub fn new() -> Rc<Self> {
@@ -34,7 +34,7 @@
     }
 
     /// Writes something down.
-    pub fn write(&self, by: &str, note: Note) {
+    pub fn record(&self, by: &str, note: Note) {
         let entry = Entry { at: self.now(), by: by.to_owned(), note };
         self.entries.borrow_mut().push(entry);
     }
--- a/emulator/src/sockets/hosts.rs
+++ b/emulator/src/sockets/servers.rs
@@ -1,8 +1,8 @@
-//! Form hosts: each balancer reaches each of them at an address of its own, so that one way can be cut
+//! Form servers: each balancer reaches each of them at an address of its own, so that one way can be cut
 //! and the others not.
 
-use super::{Ledger, sleep};
-use crate::model::{Holder, Keeper, Millis, Plant, Say};
+use super::{EntryLog, sleep};
+use crate::model::{HolderAction, InjectedBug, LeaseHolder, LeaseReplica, Millis};
 use marllink_lease_protocol::{self as keep, Ballot, Call, FrameReader, Reply, SessionId, call, reply};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -14,115 +14,115 @@
 use tokio::task::AbortHandle;
 
 /// How often leases are looked at.
-const TICK_MS: Millis = 20.0;
-/// Records that a keeper has room for.
-const ROOM: usize = 100_000;
-/// A stalled or cut off host is looked at again after so long.
-const GATE_MS: Millis = 10.0;
+const LEASE_CHECK_INTERVAL_MS: Millis = 20.0;
+/// Records that a replica has room for.
+const MAX_RECORDS: usize = 100_000;
+/// A stalled or cut off server is looked at again after so long.
+const GATE_CHECK_INTERVAL_MS: Millis = 10.0;
 
-/// What form hosts are like.
+/// What form servers are like.
 #[derive(Clone, Copy, Debug)]
-pub struct Traits {
+pub struct ServerConfig {
     /// Sessions and plain connections that one holds at most.
     pub capacity: usize,
     /// Clocks run too fast or too slow by this share at most.
-    pub drift: f64,
+    pub clock_drift: f64,
     /// A bug.
-    pub plant: Option<Plant>,
+    pub injected_bug: Option<InjectedBug>,
 }
 
-/// What may happen to a form host.
+/// What may happen to a form server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum HostFault {
+pub enum ServerFault {
     /// It is killed, and begins anew and empty after so long.
     Kill(Millis),
     /// It does nothing for so long.
     Stall(Millis),
     /// Nothing passes between it and this balancer for so long.
-    Split(usize, Millis),
+    Partition(usize, Millis),
 }
 
-/// All form hosts.
-pub struct Hosts {
-    ledger: Rc<Ledger>,
-    traits: Traits,
-    hosts: Vec<Rc<Host>>,
+/// All form servers.
+pub struct Servers {
+    log: Rc<EntryLog>,
+    config: ServerConfig,
+    servers: Vec<Rc<Server>>,
     /// Called whenever one has died or come back.
     pub changed: Rc<Notify>,
 }
 
-struct Host {
+struct Server {
     name: String,
     rate: f64,
-    keeper: RefCell<Keeper>,
-    holder: RefCell<Holder>,
+    replica: RefCell<LeaseReplica>,
+    holder: RefCell<LeaseHolder>,
     life: Cell<u64>,
     up: Cell<bool>,
     stalled_until: Cell<Millis>,
-    splits: RefCell<Vec<(usize, Millis)>>,
+    partitions: RefCell<Vec<(usize, Millis)>>,
     /// By balancer.
     addresses: Vec<SocketAddr>,
     tasks: RefCell<Vec<AbortHandle>>,
-    outs: RefCell<HashMap<u64, Rc<Out>>>,
+    outbound: RefCell<HashMap<u64, Rc<Outbound>>>,
     open: Cell<usize>,
     started_at: Cell<Millis>,
 }
 
 /// What waits to go out on a connection.
 #[derive(Default)]
-struct Out {
+struct Outbound {
     lines: RefCell<VecDeque<Vec<u8>>>,
     closing: Cell<bool>,
     added: Notify,
 }
 
-impl Out {
+impl Outbound {
     fn push(&self, bytes: Vec<u8>) {
         self.lines.borrow_mut().push_back(bytes);
         self.added.notify_one();
     }
 }
 
-impl Hosts {
+impl Servers {
     /// So many, each with an address for each of so many balancers.
     ///
     /// # Errors
     /// Fails if no address is free.
     pub async fn start(
-        ledger: Rc<Ledger>,
+        log: Rc<EntryLog>,
         count: usize,
         balancers: usize,
-        traits: Traits,
+        config: ServerConfig,
         mut rate: impl FnMut() -> f64,
     ) -> std::io::Result<Rc<Self>> {
-        let mut hosts = Vec::new();
+        let mut servers = Vec::new();
         for h in 0..count {
             let mut listeners = Vec::new();
             for _ in 0..balancers {
                 listeners.push(TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?);
             }
             let addresses = listeners.iter().map(TcpListener::local_addr).collect::<std::io::Result<_>>()?;
-            let host = Rc::new(Host {
+            let server = Rc::new(Server {
                 name: format!("h{h}"),
-                rate: 1.0 + traits.drift * rate(),
-                keeper: Keeper::new(ROOM, traits.plant).into(),
-                holder: Holder::new(traits.plant).into(),
+                rate: 1.0 + config.clock_drift * rate(),
+                replica: LeaseReplica::new(MAX_RECORDS, config.injected_bug).into(),
+                holder: LeaseHolder::new(config.injected_bug).into(),
                 life: Cell::new(1),
                 up: Cell::new(true),
                 stalled_until: Cell::default(),
-                splits: RefCell::default(),
+                partitions: RefCell::default(),
                 addresses,
                 tasks: RefCell::default(),
-                outs: RefCell::default(),
+                outbound: RefCell::default(),
                 open: Cell::default(),
                 started_at: Cell::default(),
             });
-            hosts.push((host, listeners));
+            servers.push((server, listeners));
         }
-        let all = hosts.iter().map(|(host, _)| host.clone()).collect();
-        let this = Rc::new(Self { ledger, traits, hosts: all, changed: Rc::default() });
-        for (host, listeners) in hosts {
-            this.listen(&host, listeners);
+        let all = servers.iter().map(|(server, _)| server.clone()).collect();
+        let this = Rc::new(Self { log, config, servers: all, changed: Rc::default() });
+        for (server, listeners) in servers {
+            this.listen(&server, listeners);
         }
         Ok(this)
     }
@@ -130,134 +130,134 @@
     /// How many there are.
     #[must_use]
     pub fn count(&self) -> usize {
-        self.hosts.len()
+        self.servers.len()
     }
 
     /// One's name.
     #[must_use]
     pub fn name(&self, h: usize) -> &str {
-        &self.hosts[h].name
+        &self.servers[h].name
     }
 
     /// Where a balancer reaches one.
     #[must_use]
     pub fn address(&self, h: usize, balancer: usize) -> SocketAddr {
-        self.hosts[h].addresses[balancer]
+        self.servers[h].addresses[balancer]
     }
 
     /// Whether one runs, and when it was started on the experiment's clock; 0 for long ago.
     #[must_use]
     pub fn state(&self, h: usize) -> (bool, Millis) {
-        (self.hosts[h].up.get(), self.hosts[h].started_at.get())
+        (self.servers[h].up.get(), self.servers[h].started_at.get())
     }
 
     /// Connections that all hold together, and sessions held.
     #[must_use]
     pub fn load(&self) -> (usize, usize) {
-        let open = self.hosts.iter().map(|h| h.open.get()).sum();
-        (open, self.hosts.iter().map(|h| h.holder.borrow().count()).sum())
+        let open = self.servers.iter().map(|h| h.open.get()).sum();
+        (open, self.servers.iter().map(|h| h.holder.borrow().session_count()).sum())
     }
 
-    fn listen(self: &Rc<Self>, host: &Rc<Host>, listeners: Vec<TcpListener>) {
+    fn listen(self: &Rc<Self>, server: &Rc<Server>, listeners: Vec<TcpListener>) {
         for (balancer, listener) in listeners.into_iter().enumerate() {
-            let (this, of) = (self.clone(), host.clone());
+            let (this, of) = (self.clone(), server.clone());
             let task = tokio::task::spawn_local(async move { this.accept(of, balancer, listener).await });
-            host.tasks.borrow_mut().push(task.abort_handle());
+            server.tasks.borrow_mut().push(task.abort_handle());
         }
-        let (this, of) = (self.clone(), host.clone());
+        let (this, of) = (self.clone(), server.clone());
         let task = tokio::task::spawn_local(async move { this.tick(of).await });
-        host.tasks.borrow_mut().push(task.abort_handle());
+        server.tasks.borrow_mut().push(task.abort_handle());
     }
 
-    async fn accept(self: Rc<Self>, host: Rc<Host>, balancer: usize, listener: TcpListener) {
+    async fn accept(self: Rc<Self>, server: Rc<Server>, balancer: usize, listener: TcpListener) {
         let mut next = (balancer as u64) << 32;
         loop {
             let Ok((stream, _)) = listener.accept().await else { continue };
             let _ = stream.set_nodelay(true);
             next += 1;
-            let (this, of, connection) = (self.clone(), host.clone(), next);
+            let (this, of, connection) = (self.clone(), server.clone(), next);
             let task = tokio::task::spawn_local(async move {
                 of.open.set(of.open.get() + 1);
                 let _open = Open(&of.open);
                 let _ = this.serve(&of, balancer, connection, &stream).await;
-                let mut says = Vec::new();
-                of.outs.borrow_mut().remove(&connection);
-                of.holder.borrow_mut().closed(this.local(&of), connection, &mut says);
-                this.say(&of, says);
+                let mut actions = Vec::new();
+                of.outbound.borrow_mut().remove(&connection);
+                of.holder.borrow_mut().handle_close(this.local(&of), connection, &mut actions);
+                this.say(&of, actions);
             });
-            let mut tasks = host.tasks.borrow_mut();
+            let mut tasks = server.tasks.borrow_mut();
             tasks.retain(|task| !task.is_finished());
             tasks.push(task.abort_handle());
         }
     }
 
-    /// The time on a form host's own clock.
-    fn local(&self, host: &Host) -> Millis {
-        self.ledger.now() * host.rate
+    /// The time on a form server's own clock.
+    fn local(&self, server: &Server) -> Millis {
+        self.log.now() * server.rate
     }
 
-    /// Waits while the host is stalled, or nothing passes between it and this balancer.
-    async fn gate(&self, host: &Host, balancer: usize) {
+    /// Waits while the server is stalled, or nothing passes between it and this balancer.
+    async fn gate(&self, server: &Server, balancer: usize) {
         loop {
-            let now = self.ledger.now();
-            let split = host.splits.borrow().iter().any(|(b, until)| *b == balancer && *until > now);
-            if !split && host.stalled_until.get() <= now {
+            let now = self.log.now();
+            let split = server.partitions.borrow().iter().any(|(b, until)| *b == balancer && *until > now);
+            if !split && server.stalled_until.get() <= now {
                 return;
             }
-            sleep(GATE_MS).await;
+            sleep(GATE_CHECK_INTERVAL_MS).await;
         }
     }
 
-    async fn tick(self: Rc<Self>, host: Rc<Host>) {
+    async fn tick(self: Rc<Self>, server: Rc<Server>) {
         loop {
-            sleep(TICK_MS).await;
-            if host.stalled_until.get() > self.ledger.now() {
+            sleep(LEASE_CHECK_INTERVAL_MS).await;
+            if server.stalled_until.get() > self.log.now() {
                 continue;
             }
-            let mut says = Vec::new();
-            host.holder.borrow_mut().tick(self.local(&host), &mut says);
-            self.say(&host, says);
+            let mut actions = Vec::new();
+            server.holder.borrow_mut().tick(self.local(&server), &mut actions);
+            self.say(&server, actions);
         }
     }
 
-    /// Has what the model says go out, or be written down.
-    fn say(&self, host: &Host, says: Vec<Say>) {
-        for say in says {
+    /// Has what the model actions go out, or be written down.
+    fn say(&self, server: &Server, actions: Vec<HolderAction>) {
+        for say in actions {
             match say {
-                Say::Line(connection, line) => {
-                    if let Some(out) = host.outs.borrow().get(&connection) {
+                HolderAction::SendLine(connection, line) => {
+                    if let Some(out) = server.outbound.borrow().get(&connection) {
                         out.push(format!("{line}\r\n").into_bytes());
                     }
                 }
-                Say::Close(connection) => {
-                    if let Some(out) = host.outs.borrow().get(&connection) {
+                HolderAction::Close(connection) => {
+                    if let Some(out) = server.outbound.borrow().get(&connection) {
                         out.closing.set(true);
                         out.added.notify_one();
                     }
                 }
-                Say::Note(note) => self.ledger.write(&host.name, note),
+                HolderAction::Record(note) => self.log.record(&server.name, note),
             }
         }
     }
 
     async fn serve(
         &self,
-        host: &Rc<Host>,
+        server: &Rc<Server>,
         balancer: usize,
         connection: u64,
         stream: &TcpStream,
     ) -> std::io::Result<()> {
         let mut frames = FrameReader::default();
-        let out = Rc::new(Out::default());
-        host.outs.borrow_mut().insert(connection, out.clone());
+        let out = Rc::new(Outbound::default());
+        server.outbound.borrow_mut().insert(connection, out.clone());
         let mut owner = None;
         let mut plain = false;
         let hearing = async {
             loop {
-                self.gate(host, balancer).await;
+                self.gate(server, balancer).await;
                 if let Some(owner) = owner {
                     while let Ok(Some(call)) = frames.next_frame::<Call>() {
-                        self.called(host, owner, &call, &out);
+                        self.called(server, owner, &call, &out);
                     }
                 } else {
                     while let Some(line) = frames.next_line() {
@@ -265,31 +265,31 @@
                         match word {
                             "KEEP" => {
                                 owner = keep::parse_hello(&line);
-                                out.push(keep::welcome_line(host.life.get()).into_bytes());
+                                out.push(keep::welcome_line(server.life.get()).into_bytes());
                                 break;
                             }
                             "PING" => out.push(b"PONG\r\n".to_vec()),
                             "STATS" => {
-                                let (open, most) = (host.open.get(), self.traits.capacity as f64);
+                                let (open, most) = (server.open.get(), self.config.capacity as f64);
                                 let load = open as f64 / most;
                                 out.push(format!("PONG x0={load:.3},inflight={open}\r\n").into_bytes());
                             }
-                            "OPEN" => plain = self.open(host, connection, rest, &out),
+                            "OPEN" => plain = self.open(server, connection, rest, &out),
                             _ if plain => out.push(line.clone().into_bytes()),
                             _ => {
-                                let mut says = Vec::new();
+                                let mut actions = Vec::new();
                                 let text = line.trim_end_matches(['\r', '\n']);
-                                let known = host.holder.borrow_mut().line(
-                                    self.local(host),
+                                let known = server.holder.borrow_mut().handle_line(
+                                    self.local(server),
                                     connection,
                                     text,
-                                    &mut says,
+                                    &mut actions,
                                 );
                                 if !known {
                                     // Any other line of a client's is answered as it came.
                                     out.push(line.clone().into_bytes());
                                 }
-                                self.say(host, says);
+                                self.say(server, actions);
                             }
                         }
                     }
@@ -298,7 +298,7 @@
                     }
                 }
                 stream.readable().await?;
-                self.gate(host, balancer).await;
+                self.gate(server, balancer).await;
                 match stream.try_read_buf(frames.read_buffer()) {
                     Ok(0) => return Ok(()),
                     Ok(_) => {}
@@ -312,7 +312,7 @@
                 let next = out.lines.borrow_mut().pop_front();
                 match next {
                     Some(bytes) => {
-                        self.gate(host, balancer).await;
+                        self.gate(server, balancer).await;
                         let mut left = &bytes[..];
                         while !left.is_empty() {
                             stream.writable().await?;
@@ -335,9 +335,9 @@
     }
 
     /// Takes a first line; true if the connection has no session.
-    fn open(&self, host: &Host, connection: u64, rest: &str, out: &Out) -> bool {
-        if host.open.get() > self.traits.capacity {
-            out.push(format!("BUSY inflight={}\r\n", host.open.get()).into_bytes());
+    fn open(&self, server: &Server, connection: u64, rest: &str, out: &Outbound) -> bool {
+        if server.open.get() > self.config.capacity {
+            out.push(format!("BUSY inflight={}\r\n", server.open.get()).into_bytes());
             out.closing.set(true);
             return false;
         }
@@ -351,21 +351,21 @@
             out.closing.set(true);
             return false;
         };
-        let mut says = Vec::new();
-        host.holder.borrow_mut().open(self.local(host), connection, session, ballot, &mut says);
-        self.say(host, says);
+        let mut actions = Vec::new();
+        server.holder.borrow_mut().open(self.local(server), connection, session, ballot, &mut actions);
+        self.say(server, actions);
         false
     }
 
-    fn called(&self, host: &Host, owner: u64, call: &Call, out: &Out) {
-        let now = self.local(host);
+    fn called(&self, server: &Server, owner: u64, call: &Call, out: &Outbound) {
+        let now = self.local(server);
         let reply = if let Some(call::Body::LetGo(ask)) = &call.body {
-            let mut says = Vec::new();
-            host.holder.borrow_mut().let_go(now, ask.session, ask.ballot, &mut says);
-            self.say(host, says);
+            let mut actions = Vec::new();
+            server.holder.borrow_mut().let_go(now, ask.session, ask.ballot, &mut actions);
+            self.say(server, actions);
             Some(Reply::new(reply::Body::LetGo(*ask)))
         } else {
-            host.keeper.borrow_mut().handle(now, owner, call)
+            server.replica.borrow_mut().handle(now, owner, call)
         };
         if let Some(reply) = reply {
             let mut frame = Vec::new();
@@ -374,36 +374,36 @@
         }
     }
 
-    /// Something happens to a form host.
-    pub fn fault(self: &Rc<Self>, h: usize, fault: HostFault) {
-        let host = self.hosts[h].clone();
-        let now = self.ledger.now();
+    /// Something happens to a form server.
+    pub fn fault(self: &Rc<Self>, h: usize, fault: ServerFault) {
+        let server = self.servers[h].clone();
+        let now = self.log.now();
         match fault {
-            HostFault::Stall(ms) => host.stalled_until.set(now + ms),
-            HostFault::Split(balancer, ms) => host.splits.borrow_mut().push((balancer, now + ms)),
-            HostFault::Kill(ms) => {
-                host.up.set(false);
-                host.life.set(host.life.get() + 1);
+            ServerFault::Stall(ms) => server.stalled_until.set(now + ms),
+            ServerFault::Partition(balancer, ms) => server.partitions.borrow_mut().push((balancer, now + ms)),
+            ServerFault::Kill(ms) => {
+                server.up.set(false);
+                server.life.set(server.life.get() + 1);
                 // Tasks are dropped with their sockets, which end; whoever holds a session lets go.
-                host.tasks.borrow_mut().drain(..).for_each(|task| task.abort());
-                let mut says = Vec::new();
-                host.holder.borrow_mut().killed(self.local(&host), &mut says);
-                host.outs.borrow_mut().clear();
-                self.say(&host, says);
-                host.open.set(0);
-                host.stalled_until.set(0.0);
-                *host.keeper.borrow_mut() = Keeper::new(ROOM, self.traits.plant);
-                *host.holder.borrow_mut() = Holder::new(self.traits.plant);
+                server.tasks.borrow_mut().drain(..).for_each(|task| task.abort());
+                let mut actions = Vec::new();
+                server.holder.borrow_mut().kill(self.local(&server), &mut actions);
+                server.outbound.borrow_mut().clear();
+                self.say(&server, actions);
+                server.open.set(0);
+                server.stalled_until.set(0.0);
+                *server.replica.borrow_mut() = LeaseReplica::new(MAX_RECORDS, self.config.injected_bug);
+                *server.holder.borrow_mut() = LeaseHolder::new(self.config.injected_bug);
                 self.changed.notify_waiters();
                 let this = self.clone();
                 tokio::task::spawn_local(async move {
                     sleep(ms).await;
                     let listeners =
-                        host.addresses.iter().map(|address| bind(*address)).collect::<Result<_, _>>();
+                        server.addresses.iter().map(|address| bind(*address)).collect::<Result<_, _>>();
                     if let Ok(listeners) = listeners {
-                        host.up.set(true);
-                        host.started_at.set(this.ledger.now());
-                        this.listen(&host, listeners);
+                        server.up.set(true);
+                        server.started_at.set(this.log.now());
+                        this.listen(&server, listeners);
                         this.changed.notify_waiters();
                     }
                 });
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -5,7 +5,7 @@
 //! attempts for each that stood, drops, crossings, probes, cold hosts, moves. The same seed gives the
 //! same run to the byte, whatever else runs beside it. Nothing here reads a clock.
 //!
-//! Hosts, clients and the list service are those of `marllink_emulator::model::crowd`; the balancers
+//! Hosts, clients and the list service are those of `marllink_emulator::model::fluid`; the balancers
 //! are [`marllink::Balancer`], each with its own knowledge, seed and clock. The judge counts what hosts
 //! and clients saw and never asks a balancer.
 
--- a/fleet/src/setting.rs
+++ b/fleet/src/setting.rs
@@ -6,7 +6,9 @@
 use marllink::{
     Class as Told, Discovery, Idempotency, Limits, NodeId, Prices, ReportField, Rules, Settings, ZoneId,
 };
-use marllink_emulator::model::crowd::{Calls, Class, Form, Host, Manners, Service};
+use marllink_emulator::model::fluid::{
+    Class, DiscoveryLimits, DiscoveryService, ReconnectPolicy, Server, ServerConfig,
+};
 use rand::Rng;
 use rand::rngs::SmallRng;
 use rand_distr::{Distribution, LogNormal};
@@ -42,11 +44,11 @@
     let mean: f64 = kind.classes.iter().map(|c| c.share * c.load).sum();
     let of = |sort: &Sort, tenant| Class {
         share: sort.share * kind.tenant_share(tenant),
-        worth: sort.worth,
+        value: sort.worth,
         load: sort.load / mean / per_core,
-        set_up_ms: 8.0,
-        message_aim_ms: sort.message_aim_ms,
-        ease: sort.ease,
+        setup_work_ms: 8.0,
+        message_goal_ms: sort.message_aim_ms,
+        goal_to_usual_ratio: sort.ease,
     };
     let tenants = kind.tenants();
     kind.classes.iter().flat_map(|sort| (0..tenants).map(move |tenant| of(sort, tenant))).collect()
@@ -66,7 +68,7 @@
     zones: usize,
     classes: &[Class],
     rng: &mut SmallRng,
-) -> Vec<Host> {
+) -> Vec<Server> {
     let by_zone = shares(&day.hosts, zones);
     let sizes: Vec<f64> = kind.sizes.iter().map(|size| size.share).collect();
     let spread = LogNormal::new(0.0, SPEED_SPREAD).expect("sound");
@@ -75,36 +77,36 @@
             let Size { cores, speed, .. } = kind.sizes[draw(&sizes, rng)];
             // Every zone has one, however small its share.
             let zone = if at < zones { at } else { draw(&by_zone, rng) };
-            let form = Form {
+            let form = ServerConfig {
                 zone,
                 weight: cores * speed,
                 cores: cores * speed * spread.sample(rng),
-                most: (cores * shape.most_per_core) as usize,
-                patience_ms: 400.0,
-                buffer_ms: 1_500.0,
-                cold_from: kind.cold_from,
-                warm_ms: kind.warm_ms,
+                max_connections: (cores * shape.most_per_core) as usize,
+                max_setup_wait_ms: 400.0,
+                max_backlog_ms: 1_500.0,
+                initial_capacity_ratio: kind.cold_from,
+                warm_up_ms: kind.warm_ms,
                 group_load: kind.groups.map_or(0.0, |g| g.cost / shape.per_core),
             };
-            Host::new(form, classes, -1e9, 0.0)
+            Server::new(form, classes, -1e9, 0.0)
         })
         .collect()
 }
 
-pub fn manners(rng: &mut SmallRng) -> Manners {
-    Manners {
-        honours: 0.4 * rng.random::<f64>(),
-        rejoin_ms: (170.0, 1_700.0),
-        back_off_ms: (40.0, 320.0),
-        move_ms: (20.0, 200.0),
-        deadline_ms: 4_800.0,
+pub fn manners(rng: &mut SmallRng) -> ReconnectPolicy {
+    ReconnectPolicy {
+        honors_retry_after_ratio: 0.4 * rng.random::<f64>(),
+        reconnect_delay_ms: (170.0, 1_700.0),
+        backoff_ms: (40.0, 320.0),
+        move_delay_ms: (20.0, 200.0),
+        attempt_timeout_ms: 4_800.0,
     }
 }
 
 /// A call sends a line for each host, of which the service does some tens a second at each place.
-pub fn calls(shape: &Shape, rng: &mut SmallRng) -> Calls {
+pub fn calls(shape: &Shape, rng: &mut SmallRng) -> DiscoveryService {
     let lines_ms = 20.0 * rng.random_range(0.5..1.5) * (shape.hosts as f64 / 90.0).min(4.0);
-    Calls::new(Service { places: 4, call_ms: lines_ms, patience_ms: 2_000.0 })
+    DiscoveryService::new(DiscoveryLimits { concurrency: 4, call_ms: lines_ms, queue_timeout_ms: 2_000.0 })
 }
 
 pub fn nodes(shape: &Shape, kind: &Kind, zones: usize, cores: f64, rng: &mut SmallRng) -> Vec<Node> {
--- a/fleet/src/trouble.rs
+++ b/fleet/src/trouble.rs
@@ -4,7 +4,7 @@
 use crate::day::What;
 use crate::world::{Event, World};
 use marllink::{Event as In, InjectedBug, RequestId, ServerId, Symptom};
-use marllink_emulator::model::crowd::{Gap, Phase};
+use marllink_emulator::model::fluid::{Phase, ReconnectReason};
 use rand::Rng;
 use rand::seq::SliceRandom;
 
@@ -45,7 +45,7 @@
             }
             What::GroupReconnect => {
                 for at in self.of_the_largest_group() {
-                    self.break_off(at, Gap::CutOff);
+                    self.break_off(at, ReconnectReason::Disconnected);
                 }
             }
             What::Reconnect { share } => self.reconnect(share),
@@ -94,7 +94,7 @@
             What::FailHosts { share, rate, for_s } => {
                 for host in self.some(self.hosts.len(), share) {
                     self.untouched[host] = false;
-                    self.hosts[host].fails = rate;
+                    self.hosts[host].failure_ratio = rate;
                 }
                 over(self, for_s);
             }
@@ -103,7 +103,7 @@
                 for host in self.some(self.hosts.len(), share) {
                     self.untouched[host] = false;
                     self.hosts[host].advance(now);
-                    self.hosts[host].slowed = factor;
+                    self.hosts[host].speed_ratio = factor;
                 }
                 over(self, for_s);
             }
@@ -116,7 +116,9 @@
                 over(self, for_s);
             }
             What::FewPlaces { factor, for_s } => {
-                self.hosts.iter_mut().for_each(|h| h.form.most = (h.form.most as f64 * factor) as usize);
+                self.hosts.iter_mut().for_each(|h| {
+                    h.config.max_connections = (h.config.max_connections as f64 * factor) as usize
+                });
                 over(self, for_s);
             }
             What::DropNew { share, for_s } => {
@@ -126,7 +128,7 @@
                 }
                 over(self, for_s);
             }
-            What::BusyList { for_s } => self.calls.refuses_until = self.now() + for_s * 1_000.0,
+            What::BusyList { for_s } => self.calls.overloaded_until = self.now() + for_s * 1_000.0,
             What::NoList { for_s } => self.calls.down_until = self.now() + for_s * 1_000.0,
         }
     }
@@ -143,33 +145,35 @@
                     self.speak(host);
                 }
             }
-            What::FailHosts { .. } => self.hosts.iter_mut().for_each(|h| h.fails = 0.0),
+            What::FailHosts { .. } => self.hosts.iter_mut().for_each(|h| h.failure_ratio = 0.0),
             What::DropNew { .. } => self.hosts.iter_mut().for_each(|h| h.drops_new = false),
             What::SlowHosts { .. } => {
                 for host in &mut self.hosts {
                     host.advance(now);
-                    host.slowed = 1.0;
+                    host.speed_ratio = 1.0;
                 }
             }
             What::LateReports { .. } => self.late_ms = 0.0,
             What::MuteProbes { .. } => self.mute = None,
             What::FewPlaces { factor, .. } => {
                 let factor = *factor;
-                self.hosts.iter_mut().for_each(|h| h.form.most = (h.form.most as f64 / factor) as usize);
+                self.hosts.iter_mut().for_each(|h| {
+                    h.config.max_connections = (h.config.max_connections as f64 / factor) as usize
+                });
             }
             _ => {}
         }
     }
 
     fn in_zone(&self, zone: usize) -> Vec<usize> {
-        (0..self.hosts.len()).filter(|h| self.hosts[*h].form.zone == zone).collect()
+        (0..self.hosts.len()).filter(|h| self.hosts[*h].config.zone == zone).collect()
     }
 
     /// A part of the standing connections breaks.
     fn reconnect(&mut self, share: f64) {
         for at in self.standing() {
             if self.rng.random::<f64>() < share {
-                self.break_off(at, Gap::CutOff);
+                self.break_off(at, ReconnectReason::Disconnected);
             }
         }
     }
@@ -250,13 +254,13 @@
     pub(crate) fn cold_arrival(&mut self, host: usize) {
         let now = self.now();
         let rules = self.nodes[0].settings.rules.clone();
-        let form = &self.hosts[host].form;
+        let form = &self.hosts[host].config;
         let age = now - self.hosts[host].started_at();
-        if age >= form.warm_ms || self.hosts[host].started_at() <= 0.0 {
+        if age >= form.warm_up_ms || self.hosts[host].started_at() <= 0.0 {
             return;
         }
         let filled = form.cores * self.shape.per_core;
-        let rate = filled / rules.warm_up_ms * self.hosts[host].warmth(now);
+        let rate = filled / rules.warm_up_ms * self.hosts[host].warm_up_ratio(now);
         let allowed = rules.collapse_load_ratio * rate * rules.collapse_after_ms;
         let most = allowed + if self.kind.fall_by_chance { 2.0 * allowed.sqrt() + 2.0 } else { SLACK };
         let arrivals = &mut self.arrivals[host];
--- a/fleet/src/world.rs
+++ b/fleet/src/world.rs
@@ -16,7 +16,9 @@
     Action, AttemptNo, ClassId, Event as In, InjectedBug, ListKind, NewRequest, Outcome, RequestId,
     ServerEntry, ServerId, ServerState, Symptom, TimerToken,
 };
-use marllink_emulator::model::crowd::{Answer, Calls, Class, Client, Gap, Host, Manners, Phase};
+use marllink_emulator::model::fluid::{
+    Answer, Class, Client, DiscoveryService, Phase, ReconnectPolicy, ReconnectReason, Server,
+};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp, LogNormal};
@@ -187,9 +189,9 @@
     quotas: Vec<f64>,
     /// Hosts that have told of slow messages and not yet that they are well again.
     noted: Vec<bool>,
-    pub hosts: Vec<Host>,
+    pub hosts: Vec<Server>,
     pub nodes: Vec<Node>,
-    pub calls: Calls,
+    pub calls: DiscoveryService,
     pub ledger: Ledger,
     /// Zones cut off from the others.
     pub cut: Vec<bool>,
@@ -207,7 +209,7 @@
     pub collapsed: Vec<bool>,
     past_reports: Vec<Vec<(Millis, [f32; 2])>>,
     seed: u64,
-    manners: Manners,
+    manners: ReconnectPolicy,
     clients: Vec<Client>,
     tries: Vec<Try>,
     wanting: Vec<f64>,
@@ -231,7 +233,7 @@
         let kind = day.kind.as_ref().unwrap_or(&shape.kind).clone();
         let classes = setting::classes(&kind, shape.per_core);
         let hosts = setting::hosts(shape, day, &kind, zones, &classes, &mut rng);
-        let cores: f64 = hosts.iter().map(|h| h.form.cores).sum();
+        let cores: f64 = hosts.iter().map(|h| h.config.cores).sum();
         let mut nodes = setting::nodes(shape, &kind, zones, cores, &mut rng);
         if strategy.is_planted(InjectedBug::TenantQuotasUnknown) {
             nodes.iter_mut().for_each(|node| node.settings.tenants.clear());
@@ -295,9 +297,9 @@
             self.happen(event);
         }
         let sizes: Vec<_> = (0..self.hosts.len())
-            .map(|h| self.untouched[h].then(|| (self.hosts[h].form.weight * 1_000.0) as u64))
+            .map(|h| self.untouched[h].then(|| (self.hosts[h].config.weight * 1_000.0) as u64))
             .collect();
-        let offered = self.ledger.stood * self.classes.iter().map(|c| c.share * c.set_up_ms).sum::<f64>();
+        let offered = self.ledger.stood * self.classes.iter().map(|c| c.share * c.setup_work_ms).sum::<f64>();
         let waste = 0.18 * self.waste_ms / offered.max(1.0) * 0.02;
         let prices = self.nodes[0].settings.prices.clone();
         let last_fault_s = self.day.faults.iter().map(|fault| fault.at_s).reduce(f64::max);
@@ -348,7 +350,7 @@
                 0 => setting::draw(&capacity, &mut self.rng),
                 _ => self.usual_host(group, &capacity),
             };
-            if self.hosts[host].len() >= self.hosts[host].form.most {
+            if self.hosts[host].len() >= self.hosts[host].config.max_connections {
                 continue;
             }
             let at = self.new_try(client, node);
@@ -356,7 +358,7 @@
             self.tries[at].attempts = 1;
             self.tries[at].out = Some(Out { attempt: 0, host, held: true });
             let Client { class, load, group, .. } = self.clients[client];
-            self.hosts[host].hold(0.0, at as u64, class, load, group);
+            self.hosts[host].add_connection(0.0, at as u64, class, load, group);
             let request = self.request(at);
             let server = ServerId(host as u64);
             self.feed(node, In::OpenConnection { request, server });
@@ -369,7 +371,7 @@
     /// Clients a ms that come in a zone.
     fn rate(&self, zone: usize) -> f64 {
         let traffic = setting::shares(&self.day.traffic, self.zones);
-        let cores: f64 = self.hosts.iter().map(|h| h.form.cores).sum();
+        let cores: f64 = self.hosts.iter().map(|h| h.config.cores).sum();
         let standing = self.day.load * cores * self.shape.per_core;
         traffic[zone] * standing / (self.shape.life_s * 1_000.0)
     }
@@ -421,7 +423,7 @@
             tenant: marllink::TenantId((class % tenants) as u16),
             // A number that says nothing of the size.
             group: group.wrapping_mul(0x9e37_79b9_7f4a_7c15),
-            time_left_ms: self.manners.deadline_ms - CLIENT_MS,
+            time_left_ms: self.manners.attempt_timeout_ms - CLIENT_MS,
             ..NewRequest::default()
         }
     }
@@ -478,7 +480,7 @@
                     // Not all at once: each has its own phase.
                     if (self.now() / (REPORT_MS / 7.0)).round() as usize % 7 == host % 7 {
                         let (now, noise) = (self.now(), self.noise);
-                        self.hosts[host].refresh(now, noise, &mut self.rng);
+                        self.hosts[host].refresh_report(now, noise, &mut self.rng);
                         self.report_made(host);
                     }
                 }
@@ -491,7 +493,7 @@
             Event::Shed => {
                 for host in 0..self.hosts.len() {
                     let now = self.now();
-                    if let Some(id) = self.hosts[host].sheds(now) {
+                    if let Some(id) = self.hosts[host].shed_newest(now) {
                         self.dropped(id as usize);
                     }
                 }
@@ -528,7 +530,7 @@
     fn report_made(&mut self, host: usize) {
         let report = self.hosts[host].report();
         let (now, made) = (self.now(), &mut self.past_reports[host]);
-        made.push((now, [report.load as f32, report.held as f32]));
+        made.push((now, [report.load as f32, report.connections as f32]));
         if made.len() > 16 {
             made.remove(0);
         }
@@ -539,12 +541,12 @@
             return;
         }
         let now = self.now();
-        let see = |(at, host): (usize, &Host)| Seen {
+        let see = |(at, host): (usize, &Server)| Seen {
             server: ServerId(at as u64),
-            zone: host.form.zone,
+            zone: host.config.zone,
             capacity: host.capacity(now),
-            strain: host.strain(now),
-            sound: host.phase == Phase::Up && host.fails == 0.0,
+            strain: host.utilization(now),
+            sound: host.phase == Phase::Up && host.failure_ratio == 0.0,
         };
         let seen = self.hosts.iter().enumerate().map(see).collect();
         self.truth.borrow_mut().look(now, self.see_late, seen);
@@ -556,7 +558,7 @@
         self.counted_at = now;
         let mut earned = vec![0.0; self.classes.len()];
         for host in &mut self.hosts {
-            earned.iter_mut().zip(host.earned(now)).for_each(|(sum, of)| *sum += of);
+            earned.iter_mut().zip(host.on_time_seconds(now)).for_each(|(sum, of)| *sum += of);
         }
         let served: Vec<f64> = earned.iter().zip(&self.earned).map(|(now, before)| now - before).collect();
         let wanted: Vec<f64> = self.wanting.iter().map(|count| count * passed).collect();
@@ -582,7 +584,7 @@
             let own = || (tenant..seconds.len()).step_by(tenants);
             let connections = own().map(|at| seconds[at]).sum::<f64>() / passed.max(f64::MIN_POSITIVE);
             let part = (self.quotas[tenant] / connections.max(f64::MIN_POSITIVE)).min(1.0);
-            let full: f64 = own().map(|at| seconds[at] * self.classes[at].worth).sum();
+            let full: f64 = own().map(|at| seconds[at] * self.classes[at].value).sum();
             worth.within.push(if part < 1.0 { None } else { Some(full) });
             worth.all += full * (part + (1.0 - part) * self.kind.over_share_worth);
         }
@@ -593,21 +595,25 @@
     /// when they are well again.
     fn notes(&mut self) {
         let now = self.now();
-        let strictest = self.classes.iter().min_by(|a, b| a.message_aim_ms.total_cmp(&b.message_aim_ms));
-        let Some(Class { message_aim_ms, ease, .. }) = strictest.cloned() else { return };
+        let strictest = self.classes.iter().min_by(|a, b| a.message_goal_ms.total_cmp(&b.message_goal_ms));
+        let Some(Class { message_goal_ms: message_aim_ms, goal_to_usual_ratio: ease, .. }) =
+            strictest.cloned()
+        else {
+            return;
+        };
         for host in 0..self.hosts.len() {
             // Not all at once: each has its own phase.
             if (now / (NOTE_MS / 10.0)).round() as usize % 10 != host % 10 {
                 continue;
             }
             self.hosts[host].advance(now);
-            let delay_ms = self.hosts[host].delay_ms(now, message_aim_ms, ease);
+            let delay_ms = self.hosts[host].message_delay_ms(now, message_aim_ms, ease);
             let slow = self.hosts[host].phase != Phase::Down && delay_ms > message_aim_ms / 3.0;
             if !std::mem::replace(&mut self.noted[host], slow) && !slow {
                 continue;
             }
             let mut told = FxHashMap::default();
-            for id in self.hosts[host].ids() {
+            for id in self.hosts[host].connection_ids() {
                 if let Some(node) = self.stands_at(id as usize, host) {
                     told.entry(node).or_insert(id);
                 }
@@ -624,18 +630,18 @@
 
     fn come(&mut self, client: usize) {
         let zone = self.clients[client].zone;
-        let Some(node) = self.deal(zone) else { return self.again(client, Gap::Nobody) };
+        let Some(node) = self.deal(zone) else { return self.again(client, ReconnectReason::Unreachable) };
         if self.nodes[node].decider.is_none() {
             // The front has not noticed yet.
-            return self.again(client, Gap::Nobody);
+            return self.again(client, ReconnectReason::Unreachable);
         }
         let at = self.new_try(client, node);
         self.queue.after(CLIENT_MS, Event::AtBalancer(at));
     }
 
-    pub(crate) fn again(&mut self, client: usize, gap: Gap) {
+    pub(crate) fn again(&mut self, client: usize, gap: ReconnectReason) {
         let now = self.now();
-        if let Some(at) = self.clients[client].again(now, gap, &self.manners, &mut self.rng) {
+        if let Some(at) = self.clients[client].next_attempt_at(now, gap, &self.manners, &mut self.rng) {
             self.queue.at(at, Event::Try(client));
         }
     }
@@ -644,9 +650,9 @@
         let Try { client, node, life, .. } = self.tries[at];
         if !self.alive(node, life) {
             self.tries[at].at = At::Over;
-            return self.again(client, Gap::Nobody);
+            return self.again(client, ReconnectReason::Unreachable);
         }
-        self.queue.after(self.manners.deadline_ms + GRACE_MS, Event::Deadline(at));
+        self.queue.after(self.manners.attempt_timeout_ms + GRACE_MS, Event::Deadline(at));
         self.ledger.tries += 1.0;
         let request = self.request(at);
         self.feed(node, In::Request(request));
@@ -658,7 +664,7 @@
             self.ledger.breach(now, || format!("try {at} has had no final answer in its time"));
             self.tries[at].at = At::Over;
             let client = self.tries[at].client;
-            self.again(client, Gap::CutOff);
+            self.again(client, ReconnectReason::Disconnected);
         }
     }
 
@@ -678,7 +684,7 @@
         self.clients[client].load = 0.7 * self.clients[client].load + 0.3 * usual * swing;
         let (now, load) = (self.now(), self.clients[client].load);
         if let Some(out) = &self.tries[at].out {
-            self.hosts[out.host].change(now, at as u64, load);
+            self.hosts[out.host].set_connection_load(now, at as u64, load);
         }
         self.tell_load(at);
         self.change_later(at);
@@ -727,7 +733,7 @@
         if self.tries[at].at == At::Standing {
             self.end(at, Outcome::Reset, true);
             let client = self.tries[at].client;
-            self.again(client, Gap::CutOff);
+            self.again(client, ReconnectReason::Disconnected);
         } else {
             let attempt = self.tries[at].out.as_ref().map_or(0, |o| o.attempt);
             self.ends(at, attempt, Outcome::Reset);
@@ -739,7 +745,7 @@
         let now = self.now();
         let Some(out) = self.tries[at].out.take() else { return };
         if out.held {
-            self.hosts[out.host].release(now, at as u64);
+            self.hosts[out.host].remove_connection(now, at as u64);
         }
         if closed {
             self.tries[at].at = At::Over;
@@ -773,7 +779,7 @@
     }
 
     /// A client's standing connection breaks on its own side.
-    pub(crate) fn break_off(&mut self, at: usize, gap: Gap) {
+    pub(crate) fn break_off(&mut self, at: usize, gap: ReconnectReason) {
         let client = self.tries[at].client;
         self.end(at, Outcome::Ok, true);
         self.again(client, gap);
@@ -809,11 +815,11 @@
             }
             Action::Reject { request, retry_after_ms } => {
                 self.ledger.refused(now);
-                self.answer(request.0 as usize, Gap::Refused(retry_after_ms));
+                self.answer(request.0 as usize, ReconnectReason::Rejected(retry_after_ms));
             }
             Action::Fail(request) => {
                 if self.tries[request.0 as usize].at != At::Over {
-                    self.answer(request.0 as usize, Gap::CutOff);
+                    self.answer(request.0 as usize, ReconnectReason::Disconnected);
                 }
             }
             Action::Move(request) => self.moved(request.0 as usize),
@@ -852,7 +858,7 @@
         }
     }
 
-    fn answer(&mut self, at: usize, gap: Gap) {
+    fn answer(&mut self, at: usize, gap: ReconnectReason) {
         let now = self.now();
         if self.tries[at].at != At::Waiting {
             self.ledger.breach(now, || format!("try {at} was answered twice"));
@@ -872,6 +878,6 @@
         self.ledger.moved(now);
         let client = self.tries[at].client;
         self.end(at, Outcome::Cancelled, true);
-        self.again(client, Gap::Moved);
+        self.again(client, ReconnectReason::Moved);
     }
 }
--- a/fleet/src/world/lives.rs
+++ b/fleet/src/world/lives.rs
@@ -18,10 +18,10 @@
         };
         ServerEntry {
             server: ServerId(host as u64),
-            zone: marllink::ZoneId(h.form.zone as u8),
+            zone: marllink::ZoneId(h.config.zone as u8),
             cell: marllink::CellId(0),
             state,
-            weight: h.form.weight,
+            weight: h.config.weight,
             started_at: h.started_at().max(0.0),
         }
     }
@@ -108,11 +108,11 @@
         for at in std::mem::take(&mut self.nodes[node].tries) {
             let (now, client) = (self.now(), self.tries[at].client);
             if let Some(out) = self.tries[at].out.take().filter(|out| out.held) {
-                self.hosts[out.host].release(now, at as u64);
+                self.hosts[out.host].remove_connection(now, at as u64);
             }
             if self.tries[at].at != At::Over {
                 self.tries[at].at = At::Over;
-                self.again(client, Gap::CutOff);
+                self.again(client, ReconnectReason::Disconnected);
             }
         }
         let notice = NOTICE_MS.0 + (NOTICE_MS.1 - NOTICE_MS.0) * self.rng.random::<f64>();
--- a/fleet/src/world/network.rs
+++ b/fleet/src/world/network.rs
@@ -5,7 +5,7 @@
 impl World {
     /// One way between a balancer and a host, in ms; `None` where there is none.
     pub(crate) fn way(&self, node: usize, host: usize) -> Option<Millis> {
-        let (a, b) = (usize::from(self.nodes[node].settings.zone.0), self.hosts[host].form.zone);
+        let (a, b) = (usize::from(self.nodes[node].settings.zone.0), self.hosts[host].config.zone);
         match a == b {
             _ if self.hushed[host] => None,
             true => Some(SAME_MS),
@@ -35,7 +35,7 @@
         }
         self.tries[at].out = Some(Out { attempt, host, held: false });
         let zone = usize::from(self.nodes[node].settings.zone.0);
-        self.ledger.crossed += f64::from(u8::from(zone != self.hosts[host].form.zone));
+        self.ledger.crossed += f64::from(u8::from(zone != self.hosts[host].config.zone));
         let connect_ms = self.nodes[node].settings.limits.connect_timeout_ms.min(timeout_ms);
         let (way, down) = (self.way(node, host), self.hosts[host].phase == Phase::Down);
         match way {
@@ -67,10 +67,10 @@
         let Some(way) = self.way(node, host) else { return };
         let Client { class, load, group, .. } = self.clients[client];
         self.cold_arrival(host);
-        let work = self.classes[class].set_up_ms + HANDSHAKE_WORK_MS;
-        let outcome = match self.hosts[host].ask(now, work, &mut self.rng) {
+        let work = self.classes[class].setup_work_ms + HANDSHAKE_WORK_MS;
+        let outcome = match self.hosts[host].open(now, work, &mut self.rng) {
             Answer::Up(after) => {
-                self.hosts[host].hold(now, at as u64, class, load, group);
+                self.hosts[host].add_connection(now, at as u64, class, load, group);
                 self.tries[at].out = Some(Out { attempt, host, held: true });
                 return self.queue.after(after + way, Event::Stands { at, attempt });
             }
@@ -123,7 +123,7 @@
                 return self.queue.after(1_000.0, Event::Told { node, life, host, ok, report });
             }
             _ => {
-                self.hosts[host].work(now, PROBE_WORK_MS + HANDSHAKE_WORK_MS);
+                self.hosts[host].add_work(now, PROBE_WORK_MS + HANDSHAKE_WORK_MS);
                 let due = now - self.late_ms;
                 let made = &self.past_reports[host];
                 let report = made.iter().rev().find(|(at, _)| *at <= due).or_else(|| made.first());
--- a/lab/src/balancers.rs
+++ b/lab/src/balancers.rs
@@ -1,6 +1,6 @@
 //! The balancers under test: real processes, killed, stopped and upgraded as the experiment says.
 
-use marllink_emulator::sockets::{Ledger, sleep};
+use marllink_emulator::sockets::{EntryLog, sleep};
 use rustix::process::{Pid, Signal, kill_process};
 use std::cell::{Cell, RefCell};
 use std::fs::File;
@@ -21,7 +21,7 @@
 
 /// All balancers of an experiment.
 pub struct Balancers {
-    ledger: Rc<Ledger>,
+    ledger: Rc<EntryLog>,
     program: PathBuf,
     folder: PathBuf,
     each: Vec<Balancer>,
@@ -50,7 +50,7 @@
     ///
     /// # Errors
     /// Fails if a folder can't be made or no address is free.
-    pub fn new(ledger: Rc<Ledger>, program: PathBuf, folder: PathBuf, count: usize) -> io::Result<Self> {
+    pub fn new(ledger: Rc<EntryLog>, program: PathBuf, folder: PathBuf, count: usize) -> io::Result<Self> {
         let mut each = Vec::<Balancer>::new();
         while each.len() < count {
             // An address that is free may be one that another balancer is about to have, and both could listen there.
--- a/lab/src/come_back.rs
+++ b/lab/src/come_back.rs
@@ -2,11 +2,12 @@
 //! balancer's machine, and clients that come again; killed, stopped, and their stores kept, wiped, cut off or of old.
 
 use crate::balancers::Balancers;
-use marllink_emulator::platform::rules::{Rules, judge};
+use marllink_emulator::platform::rules::{Rules, check};
 use marllink_emulator::platform::{
-    BALANCER_BITS, Book, Discovery, Host, Manner, Note, Returning, State, Table,
+    BALANCER_SHIFT, Discovery, Note, NoteLog, ReconnectPool, ReconnectingClient, Server, ServerBehavior,
+    State,
 };
-use marllink_emulator::sockets::{Ledger, sleep};
+use marllink_emulator::sockets::{EntryLog, sleep};
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
@@ -216,10 +217,10 @@
 
 struct Run {
     experiment: ComeBack,
-    book: Rc<Book>,
-    hosts: Vec<Rc<Host>>,
+    book: Rc<NoteLog>,
+    hosts: Vec<Rc<Server>>,
     agents: Vec<Rc<Discovery>>,
-    told: Vec<Rc<Book>>,
+    told: Vec<Rc<NoteLog>>,
     balancers: Balancers,
     plant: Option<Plant>,
     /// Form hosts that are gone, and since when.
@@ -242,15 +243,15 @@
     folder: &Path,
     plant: Option<Plant>,
 ) -> std::io::Result<Results> {
-    let (book, ledger) = (Book::new(), Ledger::new());
+    let (book, ledger) = (NoteLog::new(), EntryLog::new());
     let mut hosts = Vec::new();
     for number in 0..experiment.hosts {
-        hosts.push(Host::start(book.clone(), number, true, None).await?);
+        hosts.push(Server::start(book.clone(), number, true, None).await?);
     }
     let count = experiment.balancers;
     let (mut agents, mut told) = (Vec::new(), Vec::new());
     for _ in 0..count {
-        let own = book.beside();
+        let own = book.with_same_clock();
         agents.push(Discovery::start(own.clone(), hosts.clone(), vec!["a".into(), "b".into()], false).await?);
         told.push(own);
     }
@@ -266,7 +267,7 @@
     for n in 0..count {
         balancers.start(n).await?;
     }
-    let table = Table::new(book.clone(), balancers.addresses(), classes());
+    let table = ReconnectPool::new(book.clone(), balancers.addresses(), classes());
     let run = Rc::new(Run {
         experiment: experiment.clone(),
         book: book.clone(),
@@ -285,8 +286,8 @@
     let mut rng = SmallRng::seed_from_u64(experiment.seed + 1);
     let clients: Vec<_> = (0..experiment.crowd.clients)
         .map(|_| {
-            let client = Returning::new(table.clone(), rng.random());
-            tokio::task::spawn_local(client.live(rng.random::<f64>() * experiment.crowd.over_s * 1_000.0))
+            let client = ReconnectingClient::new(table.clone(), rng.random());
+            tokio::task::spawn_local(client.run(rng.random::<f64>() * experiment.crowd.over_s * 1_000.0))
         })
         .collect();
     let faults: Vec<_> = experiment
@@ -306,18 +307,18 @@
     let mut samples = Vec::new();
     while book.now() < began + experiment.seconds * 1_000.0 {
         sleep(SAMPLE_MS).await;
-        samples.push((book.now(), table.up()));
+        samples.push((book.now(), table.connected()));
     }
     for fault in faults {
         // One that has panicked has not happened, and the run shows nothing.
         let ended = fault.await;
         run.errors.borrow_mut().extend(ended.err().map(|e| e.to_string()));
     }
-    table.end();
+    table.stop();
     for client in clients {
         let _ = client.await;
     }
-    Ok(run.results(samples, table.refused()))
+    Ok(run.results(samples, table.rejected()))
 }
 
 fn classes() -> Vec<(String, f64)> {
@@ -340,7 +341,7 @@
 }
 
 fn rules() -> Rules {
-    Rules { attempts: 3, grace_ms: 1_500.0, advice_ms: Some(2_000.0), ..Rules::default() }
+    Rules { max_attempts: 3, drain_grace_ms: 1_500.0, max_retry_after_ms: Some(2_000.0), ..Rules::default() }
 }
 
 impl Run {
@@ -354,10 +355,10 @@
     async fn happen(&self, what: What) -> std::io::Result<()> {
         match what {
             What::Retire { host, after_s } => {
-                self.agents.iter().for_each(|agent| agent.set(host, State::Draining));
+                self.agents.iter().for_each(|agent| agent.set_state(host, State::Draining));
                 sleep(after_s * 1_000.0).await;
-                self.agents.iter().for_each(|agent| agent.set(host, State::Deleted));
-                self.hosts[host].behave(Manner::Gone);
+                self.agents.iter().for_each(|agent| agent.set_state(host, State::Deleted));
+                self.hosts[host].set_behavior(ServerBehavior::Gone);
                 self.gone.borrow_mut().insert(host, self.book.now());
             }
             What::CopyStores {} => {
@@ -367,9 +368,9 @@
             }
             What::DiscoveryDown { for_s } => {
                 let from = self.book.now();
-                self.agents.iter().for_each(|agent| agent.down(true));
+                self.agents.iter().for_each(|agent| agent.set_down(true));
                 sleep(for_s * 1_000.0).await;
-                self.agents.iter().for_each(|agent| agent.down(false));
+                self.agents.iter().for_each(|agent| agent.set_down(false));
                 self.outages.borrow_mut().push((from, self.book.now()));
             }
             What::Kill { count, for_s, store } => {
@@ -438,7 +439,7 @@
             }
             if forgets {
                 for host in 0..self.experiment.hosts {
-                    self.told[*n].write(Note::Told { host, state: State::Serving });
+                    self.told[*n].record(Note::Told { host, state: State::Serving });
                 }
             }
         }
@@ -456,25 +457,25 @@
         let notes = self.book.notes();
         for (at, note) in &notes {
             let Some(id) = note.request() else { continue };
-            by[(id >> BALANCER_BITS) as usize].push((*at, note.clone()));
+            by[(id >> BALANCER_SHIFT) as usize].push((*at, note.clone()));
         }
         for (n, mut own) in by.into_iter().enumerate() {
             let lost = self.lost(n, &own);
             own.retain(|(_, note)| !note.request().is_some_and(|id| lost.contains(&id)));
             own.extend(self.told[n].notes());
             own.sort_by(|a, b| a.0.total_cmp(&b.0));
-            let found = judge(&own, &rules());
-            results.asked += found.asked + lost.len();
+            let found = check(&own, &rules());
+            results.asked += found.requests + lost.len();
             results.served += found.served;
             results.lost += lost.len();
             results.late += found.late.len();
             let name = |fault: &String| format!("balancer {n}: {fault}");
-            results.against.extend(found.broken.iter().map(name));
+            results.against.extend(found.violations.iter().map(name));
         }
         let gone = self.gone.borrow();
         let stale = |note: &Note| {
             matches!(note, Note::Sent { host, since, .. }
-            if gone.get(host).is_some_and(|from| since - from > rules().grace_ms))
+            if gone.get(host).is_some_and(|from| since - from > rules().drain_grace_ms))
         };
         results.stale = notes.iter().filter(|(_, note)| stale(note)).count();
         self.service(&notes, &samples, &mut results);
--- a/lab/src/deployments.rs
+++ b/lab/src/deployments.rs
@@ -1,8 +1,10 @@
 //! `marllink-lab deployments`: a seeded sample of kinds of deployments, and the real daemon on each for some seconds.
 
 use crate::balancers::free;
-use marllink_emulator::platform::rules::{Found, Rules, judge};
-use marllink_emulator::platform::{Book, Discovery, Habits, Host, Manner, State, play};
+use marllink_emulator::platform::rules::{Findings, Rules, check};
+use marllink_emulator::platform::{
+    ClientPopulation, Discovery, NoteLog, Server, ServerBehavior, State, run_clients,
+};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
@@ -84,9 +86,9 @@
 
     fn rules(&self) -> Rules {
         Rules {
-            attempts: self.attempts,
-            grace_ms: self.grace_ms,
-            advice_ms: self.advice_ms,
+            max_attempts: self.attempts,
+            drain_grace_ms: self.grace_ms,
+            max_retry_after_ms: self.advice_ms,
             ..Rules::default()
         }
     }
@@ -131,14 +133,14 @@
 ///
 /// # Errors
 /// Fails if the daemon does not start, or ends.
-pub async fn run(deployment: &Deployment, folder: &Path, mum: bool) -> std::io::Result<Found> {
+pub async fn run(deployment: &Deployment, folder: &Path, mum: bool) -> std::io::Result<Findings> {
     let folder = folder.join(deployment.seed.to_string());
     std::fs::create_dir_all(&folder)?;
-    let book = Book::new();
+    let book = NoteLog::new();
     let mut hosts = Vec::new();
     for number in 0..HOSTS {
         let report = deployment.reports.then(|| "x0=0.3,rif=4".to_owned());
-        hosts.push(Host::start(book.clone(), number, true, report).await?);
+        hosts.push(Server::start(book.clone(), number, true, report).await?);
     }
     let discovery = Discovery::start(book.clone(), hosts.clone(), deployment.zone_names(), mum).await?;
     let listen = free()?;
@@ -168,52 +170,52 @@
         }
         pause(10.0).await;
     }
-    let habits = Habits {
+    let habits = ClientPopulation {
         count: CLIENTS,
-        over_ms: OVER_MS,
+        arrival_ms: OVER_MS,
         classes: deployment.classes(),
         tenants: deployment.tenant_names(),
-        groups: if deployment.groups { 4 } else { 0 },
-        stay_ms: 1_500.0,
+        group_count: if deployment.groups { 4 } else { 0 },
+        max_stay_ms: 1_500.0,
     };
     let mut rng = SmallRng::seed_from_u64(deployment.seed);
     let faults = tokio::task::spawn_local(go_wrong(hosts, discovery));
-    play(book.clone(), listen, &habits, &mut rng).await;
+    run_clients(book.clone(), listen, &habits, &mut rng).await;
     let _ = faults.await;
-    let mut found = judge(&book.notes(), &deployment.rules());
+    let mut found = check(&book.notes(), &deployment.rules());
     if daemon.0.try_wait()?.is_some() {
-        found.broken.push("the daemon has ended".into());
+        found.violations.push("the daemon has ended".into());
     }
     if std::fs::read_to_string(&log)?.contains("panicked") {
-        found.broken.push(format!("a task has panicked; see {}", log.display()));
+        found.violations.push(format!("a task has panicked; see {}", log.display()));
     }
-    if found.served * 2 < found.asked {
-        found.broken.push(format!(
+    if found.served * 2 < found.requests {
+        found.violations.push(format!(
             "{} of {} served, with a host or two sound all the time",
-            found.served, found.asked
+            found.served, found.requests
         ));
     }
     Ok(found)
 }
 
 /// What goes wrong on each: one drains, one is deleted and ends, others turn away, fail, break off or say nothing.
-async fn go_wrong(hosts: Vec<Rc<Host>>, discovery: Rc<Discovery>) {
+async fn go_wrong(hosts: Vec<Rc<Server>>, discovery: Rc<Discovery>) {
     pause(300.0).await;
-    hosts[0].behave(Manner::Busy);
-    hosts[1].behave(Manner::Errs);
+    hosts[0].set_behavior(ServerBehavior::Busy);
+    hosts[1].set_behavior(ServerBehavior::Errs);
     pause(300.0).await;
-    discovery.set(2, State::Draining);
-    hosts[3].behave(Manner::Resets);
+    discovery.set_state(2, State::Draining);
+    hosts[3].set_behavior(ServerBehavior::Resets);
     pause(300.0).await;
-    hosts[0].behave(Manner::Serves);
-    hosts[1].behave(Manner::Mute);
-    discovery.set(3, State::Deleted);
+    hosts[0].set_behavior(ServerBehavior::Serves);
+    hosts[1].set_behavior(ServerBehavior::Mute);
+    discovery.set_state(3, State::Deleted);
     hosts[3].stop();
     pause(600.0).await;
-    hosts[1].behave(Manner::Serves);
-    discovery.set(4, State::Draining);
+    hosts[1].set_behavior(ServerBehavior::Serves);
+    discovery.set_state(4, State::Draining);
     pause(500.0).await;
-    discovery.set(2, State::Serving);
+    discovery.set_state(2, State::Serving);
 }
 
 async fn pause(ms: f64) {
@@ -234,11 +236,17 @@
         let local = tokio::task::LocalSet::new();
         let found = local.block_on(&runtime, run(&deployment, folder, mum));
         let found = found.map_err(|e| format!("{}: {e}", deployment.name()))?;
-        println!("{}: {} of {} served, {} sent", deployment.name(), found.served, found.asked, found.sent);
-        found.broken.iter().take(5).for_each(|broken| println!("     BROKEN {broken}"));
+        println!(
+            "{}: {} of {} served, {} sent",
+            deployment.name(),
+            found.served,
+            found.requests,
+            found.attempts
+        );
+        found.violations.iter().take(5).for_each(|broken| println!("     BROKEN {broken}"));
         // A bound on time may hang on the machine's load, and says so.
         found.late.iter().take(3).for_each(|late| println!("     late {late}"));
-        kept &= found.broken.is_empty();
+        kept &= found.violations.is_empty();
         late += found.late.len();
     }
     println!(
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -11,7 +11,7 @@
 
 use clap::{Parser, Subcommand};
 use experiment::{Experiment, Fault, Fleet, Load, Sessions, What};
-use marllink_emulator::model::Plant;
+use marllink_emulator::model::InjectedBug;
 use results::Sample;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -312,7 +312,7 @@
 }
 
 /// Runs an experiment; true if it is sound.
-fn run(experiment: &Experiment, plant: Option<Plant>, out: &Path, quiet: bool) -> Result<bool, String> {
+fn run(experiment: &Experiment, plant: Option<InjectedBug>, out: &Path, quiet: bool) -> Result<bool, String> {
     let program = std::env::current_exe().map_err(|e| e.to_string())?;
     let folder = balancers::folder(out, &experiment.name).map_err(|e| format!("{}: {e}", out.display()))?;
     let progress: fn(&Sample, &str) = if quiet { |_, _| {} } else { show };
--- a/lab/src/results.rs
+++ b/lab/src/results.rs
@@ -2,7 +2,7 @@
 
 use crate::experiment::Experiment;
 use hdrhistogram::Histogram;
-use marllink_emulator::judge::{Verdict, judge};
+use marllink_emulator::checker::{Verdict, check};
 use marllink_emulator::model::{Entry, Note};
 use plotters::prelude::*;
 use std::collections::HashMap;
@@ -47,22 +47,22 @@
         errors: Vec<String>,
         cut: impl Fn(usize, f64, f64) -> bool,
     ) -> Self {
-        let verdict = judge(&entries, cut);
+        let verdict = check(&entries, cut);
         let (back, cut_off) = resume_times(&entries);
         let service = service(experiment, &samples);
         let at = |h: &Histogram<u64>, q: f64| h.value_at_quantile(q) as f64;
         let mut figures = vec![
             ("sessions", verdict.sessions as f64),
             ("resumed", verdict.resumed as f64),
-            ("saved", verdict.saved as f64),
-            ("missing", verdict.missing as f64),
+            ("saved", verdict.confirmed_saves as f64),
+            ("missing", verdict.missing_saves as f64),
             ("applied_twice", verdict.applied_twice as f64),
             ("out_of_order", verdict.out_of_order as f64),
             ("held_twice", verdict.held_twice as f64),
-            ("let_in", verdict.let_in as f64),
+            ("let_in", verdict.unauthorized_opens as f64),
             ("answered_twice", verdict.answered_twice as f64),
             ("unanswered", verdict.unanswered as f64),
-            ("given_up", verdict.given_up as f64),
+            ("given_up", verdict.abandoned_sessions as f64),
             ("unsettled", unsettled as f64),
         ];
         figures.extend([
@@ -179,8 +179,8 @@
     for entry in entries {
         let by = entry.by.as_str();
         match &entry.note {
-            Note::Ends { .. } => _ = since.insert(by, (entry.at, None)),
-            Note::Asks { .. } => {
+            Note::ConnectionEnded { .. } => _ = since.insert(by, (entry.at, None)),
+            Note::OpenSent { .. } => {
                 if let Some((_, asked)) = since.get_mut(by) {
                     asked.get_or_insert(entry.at);
                 }
--- a/lab/src/run.rs
+++ b/lab/src/run.rs
@@ -3,8 +3,10 @@
 use crate::balancers::{Balancers, Told};
 use crate::experiment::{Experiment, What};
 use crate::results::{Results, Sample};
-use marllink_emulator::model::{Habits, Note, Plant, TokenKind};
-use marllink_emulator::sockets::{Clients, Discovery, HostFault, Hosts, Ledger, Thief, Traits, sleep};
+use marllink_emulator::model::{InjectedBug, Note, SessionClientConfig, TokenKind};
+use marllink_emulator::sockets::{
+    Discovery, EntryLog, Impostor, ServerConfig, ServerFault, Servers, SessionClients, sleep,
+};
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -25,19 +27,19 @@
     /// Where the results go.
     pub folder: PathBuf,
     /// A bug that is planted.
-    pub plant: Option<Plant>,
+    pub plant: Option<InjectedBug>,
     /// Told once a second, for whoever watches.
     pub progress: fn(&Sample, &str),
 }
 
 /// All that an experiment consists of while it runs.
 struct Running {
-    ledger: Rc<Ledger>,
-    hosts: Rc<Hosts>,
+    ledger: Rc<EntryLog>,
+    hosts: Rc<Servers>,
     discovery: Rc<Discovery>,
     balancers: Rc<Balancers>,
-    clients: Rc<Clients>,
-    plant: Option<Plant>,
+    clients: Rc<SessionClients>,
+    plant: Option<InjectedBug>,
     last_fault: Rc<RefCell<String>>,
     errors: Rc<RefCell<Vec<String>>>,
     /// Drafters see what they have through, and nobody disturbs them any more.
@@ -50,12 +52,15 @@
 /// Fails if it could not be run; that it was run and broke a rule is in the results.
 pub async fn run(experiment: &Experiment, options: &Options) -> io::Result<Results> {
     let Experiment { fleet, load, .. } = experiment;
-    let ledger = Ledger::new();
+    let ledger = EntryLog::new();
     let mut rng = SmallRng::seed_from_u64(experiment.seed);
-    let traits =
-        Traits { capacity: fleet.capacity, drift: fleet.clock_drift_percent / 100.0, plant: options.plant };
+    let traits = ServerConfig {
+        capacity: fleet.capacity,
+        clock_drift: fleet.clock_drift_percent / 100.0,
+        injected_bug: options.plant,
+    };
     let rate = || rng.random_range(-1.0..=1.0);
-    let hosts = Hosts::start(ledger.clone(), fleet.hosts, fleet.balancers, traits, rate).await?;
+    let hosts = Servers::start(ledger.clone(), fleet.hosts, fleet.balancers, traits, rate).await?;
     let zones: Vec<String> = (0..fleet.zones).map(|z| format!("z{z}")).collect();
     let late = f64::from(fleet.late_news_ms);
     let discovery =
@@ -75,21 +80,22 @@
     }
     // Links to keepers come up within a moment of the start.
     sleep(500.0).await;
-    let habits = Habits {
-        save_every_ms: load.save_every_ms,
-        fields: load.fields,
+    let habits = SessionClientConfig {
+        save_interval_ms: load.save_every_ms,
+        field_count: load.fields,
         value_bytes: load.value_bytes,
-        in_flight: load.in_flight,
-        back_from_ms: 170.0,
-        back_to_ms: 1_700.0,
-        balancers: fleet.balancers,
-        wait_ms: 4_800.0,
-        stubborn: true,
+        max_unconfirmed: load.in_flight,
+        min_reconnect_delay_ms: 170.0,
+        max_reconnect_delay_ms: 1_700.0,
+        balancer_count: fleet.balancers,
+        answer_timeout_ms: 4_800.0,
+        resumes_after_taken: true,
     };
     let began = ledger.now();
     let addresses = balancers.addresses();
     let over_ms = load.over_s * 1_000.0;
-    let clients = Clients::start(ledger.clone(), addresses, load.drafters, habits, experiment.seed, over_ms);
+    let clients =
+        SessionClients::start(ledger.clone(), addresses, load.drafters, habits, experiment.seed, over_ms);
     let running = Rc::new(Running {
         ledger: ledger.clone(),
         hosts,
@@ -106,14 +112,14 @@
     for second in 1..=experiment.seconds {
         sleep(began + f64::from(second) * 1_000.0 - ledger.now()).await;
         let (connections, held) = running.hosts.load();
-        let sample = Sample { second, working: clients.working(), connections, held };
+        let sample = Sample { second, working: clients.connected_count(), connections, held };
         (options.progress)(&sample, &running.last_fault.borrow());
         samples.push(sample);
     }
     running.settling.set(true);
-    clients.finish();
+    clients.stop_saving();
     let until = ledger.now() + SETTLE_MS;
-    while clients.unsettled() > 0 && ledger.now() < until {
+    while clients.unsettled_count() > 0 && ledger.now() < until {
         sleep(50.0).await;
     }
     let mut errors = running.errors.take();
@@ -121,7 +127,7 @@
     errors.extend(balancers.panics());
     let entries = ledger.take();
     let cut = |b: usize, from: f64, to: f64| balancers.was_cut(b, from, to);
-    Ok(Results::new(experiment, entries, samples, clients.unsettled(), errors, cut))
+    Ok(Results::new(experiment, entries, samples, clients.unsettled_count(), errors, cut))
 }
 
 impl Running {
@@ -133,7 +139,7 @@
                 sleep(fault.at_s * 1_000.0).await;
                 let what = serde_json::to_string(&fault.what).unwrap_or_default();
                 this.last_fault.replace(what.clone());
-                this.ledger.write("lab", Note::Fault { what });
+                this.ledger.record("lab", Note::Fault { what });
                 if let Err(error) = this.happen(fault.what).await {
                     this.errors.borrow_mut().push(error.to_string());
                 }
@@ -158,10 +164,10 @@
 
     async fn happen(&self, what: What) -> io::Result<()> {
         match what {
-            What::KillHost { host, for_s } => self.hosts.fault(host, HostFault::Kill(for_s * 1_000.0)),
-            What::StallHost { host, for_s } => self.hosts.fault(host, HostFault::Stall(for_s * 1_000.0)),
+            What::KillHost { host, for_s } => self.hosts.fault(host, ServerFault::Kill(for_s * 1_000.0)),
+            What::StallHost { host, for_s } => self.hosts.fault(host, ServerFault::Stall(for_s * 1_000.0)),
             What::Split { host, balancer, for_s } => {
-                self.hosts.fault(host, HostFault::Split(balancer, for_s * 1_000.0));
+                self.hosts.fault(host, ServerFault::Partition(balancer, for_s * 1_000.0));
             }
             What::Drain { host, for_s } => {
                 self.discovery.drain(host, true);
@@ -179,7 +185,7 @@
     async fn rotate(&self) -> io::Result<()> {
         self.balancers.keys(&[0, 1], |_| true)?;
         sleep(WITHDRAW_MS).await;
-        let forgets = self.plant == Some(Plant::ForgedToken);
+        let forgets = self.plant == Some(InjectedBug::ForgedToken);
         self.balancers.keys(&[1], |b| !(forgets && b == 0))
     }
 
@@ -192,20 +198,20 @@
             let tokens = self.clients.tokens();
             let Some(token) = tokens.choose(&mut rng).cloned() else { continue };
             let all = (0..balancers).chain([0]).collect();
-            let stolen = Thief { balancers: all, token, kind: TokenKind::Good, stays_ms: 200.0 };
-            self.clients.steal(&stolen);
+            let stolen = Impostor { balancers: all, token, kind: TokenKind::Good, stay_ms: 200.0 };
+            self.clients.present_token(&stolen);
             let mut forged = stolen.clone();
             forged.kind = TokenKind::Forged;
             // The last letters of base64 may stand for bits that are not there.
             let at = rng.random_range(0..forged.token.len() - 4);
             let other = if forged.token.as_bytes()[at] == b'A' { "B" } else { "A" };
             forged.token.replace_range(at..=at, other);
-            self.clients.steal(&forged);
+            self.clients.present_token(&forged);
             forged.token.truncate(at.max(61));
-            self.clients.steal(&forged);
+            self.clients.present_token(&forged);
             let old = withdrawn.borrow().choose(&mut rng).cloned();
             if let Some(token) = old {
-                self.clients.steal(&Thief { token, kind: TokenKind::Forged, ..stolen });
+                self.clients.present_token(&Impostor { token, kind: TokenKind::Forged, ..stolen });
             }
         }
     }
--- a/lab/src/soak/player.rs
+++ b/lab/src/soak/player.rs
@@ -3,9 +3,9 @@
 use super::scenario::{Fault, Scenario};
 use crate::balancers::Balancers;
 use marllink_emulator::platform::{
-    ALL_KINDS, Book, ClientKind, Discovery, Entrance, Host, MixedClient, Note, State,
+    ALL_CLIENT_KINDS, BalancerEndpoint, ClientKind, Discovery, MixedClient, Note, NoteLog, Server, State,
 };
-use marllink_emulator::sockets::{Ledger, sleep};
+use marllink_emulator::sockets::{EntryLog, sleep};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde_json::json;
@@ -43,12 +43,12 @@
 
 struct Player {
     scenario: Scenario,
-    book: Rc<Book>,
-    servers: Vec<Rc<Host>>,
+    book: Rc<NoteLog>,
+    servers: Vec<Rc<Server>>,
     agents: Vec<Rc<Discovery>>,
-    told: Vec<Rc<Book>>,
+    told: Vec<Rc<NoteLog>>,
     balancers: Balancers,
-    entrances: Vec<Rc<Entrance>>,
+    entrances: Vec<Rc<BalancerEndpoint>>,
     busy: Vec<Cell<bool>>,
     findings: RefCell<Vec<String>>,
     late: RefCell<Vec<String>>,
@@ -93,19 +93,19 @@
 
 impl Player {
     async fn set_up(scenario: &Scenario, shim: &Path, folder: &Path) -> io::Result<Self> {
-        let book = Book::new();
+        let book = NoteLog::new();
         let mut servers = Vec::new();
         for number in 0..scenario.servers {
-            servers.push(Host::start(book.clone(), number, true, None).await?);
+            servers.push(Server::start(book.clone(), number, true, None).await?);
         }
         let program = std::env::current_exe()?;
         let count = scenario.processes;
-        let balancers = Balancers::new(Ledger::new(), program, folder.to_path_buf(), count)?;
+        let balancers = Balancers::new(EntryLog::new(), program, folder.to_path_buf(), count)?;
         let balancers = balancers.with_environment(environment(scenario, shim, folder));
         let (mut agents, mut told) = (Vec::new(), Vec::new());
         let operators = if scenario.stores { json!({"store": {"folder": "state"}}) } else { json!({}) };
         for n in 0..count {
-            let own = book.beside();
+            let own = book.with_same_clock();
             let zones = vec!["a".into(), "b".into()];
             let agent = Discovery::start(own.clone(), servers.clone(), zones, false).await?;
             let known: serde_json::Value = serde_json::from_str(&agent.list())?;
@@ -121,7 +121,12 @@
             balancers.start(n).await?;
         }
         let entrance = |(process, address)| {
-            Rc::new(Entrance { process, address, is_open: Cell::new(true), shutdown: Notify::new() })
+            Rc::new(BalancerEndpoint {
+                process,
+                address,
+                accepts_connections: Cell::new(true),
+                shutdown: Notify::new(),
+            })
         };
         let entrances = balancers.addresses().into_iter().enumerate().map(entrance).collect();
         Ok(Self {
@@ -140,17 +145,21 @@
 
     /// The life of one more client, if a process takes new ones.
     fn client(&self, rng: &mut SmallRng) -> Option<impl Future<Output = ()> + use<>> {
-        let open: Vec<_> = self.entrances.iter().filter(|entrance| entrance.is_open.get()).collect();
+        let open: Vec<_> =
+            self.entrances.iter().filter(|entrance| entrance.accepts_connections.get()).collect();
         if open.is_empty() {
             return None;
         }
         let entrance = open[rng.random_range(0..open.len())].clone();
         let class = self.scenario.classes[rng.random_range(0..self.scenario.classes.len())].clone();
-        let kind =
-            if rng.random() { ClientKind::Talks } else { ALL_KINDS[rng.random_range(0..ALL_KINDS.len())] };
+        let kind = if rng.random() {
+            ClientKind::Talks
+        } else {
+            ALL_CLIENT_KINDS[rng.random_range(0..ALL_CLIENT_KINDS.len())]
+        };
         let own = SmallRng::seed_from_u64(rng.random());
         let stay_ms = STAY_MS * rng.random::<f64>();
-        Some(MixedClient::new(self.book.clone(), entrance, class, kind, own).live(stay_ms))
+        Some(MixedClient::new(self.book.clone(), entrance, class, kind, own).run(stay_ms))
     }
 
     async fn happen(&self, fault: Fault) -> io::Result<()> {
@@ -173,19 +182,19 @@
             Fault::Upgrade(n) => self.alone(n, self.upgrade(n)).await,
             Fault::KilledUpgrade(n) => self.alone(n, self.killed_upgrade(n)).await,
             Fault::Behave(server, manner) => {
-                self.servers[server].behave(manner);
+                self.servers[server].set_behavior(manner);
                 Ok(())
             }
             Fault::Drain(server, for_ms) => {
-                self.agents.iter().for_each(|agent| agent.set(server, State::Draining));
+                self.agents.iter().for_each(|agent| agent.set_state(server, State::Draining));
                 sleep(for_ms).await;
-                self.agents.iter().for_each(|agent| agent.set(server, State::Serving));
+                self.agents.iter().for_each(|agent| agent.set_state(server, State::Serving));
                 Ok(())
             }
             Fault::DiscoveryDown(for_ms) => {
-                self.agents.iter().for_each(|agent| agent.down(true));
+                self.agents.iter().for_each(|agent| agent.set_down(true));
                 sleep(for_ms).await;
-                self.agents.iter().for_each(|agent| agent.down(false));
+                self.agents.iter().for_each(|agent| agent.set_down(false));
                 Ok(())
             }
         }
@@ -231,7 +240,7 @@
             self.balancers.reload(n);
         }
         sleep(told_at + FRONT_MS - self.book.now()).await;
-        self.entrances[n].is_open.set(false);
+        self.entrances[n].accepts_connections.set(false);
         let killed_at = told_at + self.scenario.killed_after_ms();
         while self.book.now() < killed_at {
             if self.balancers.has_ended(n)? {
@@ -248,20 +257,20 @@
 
     async fn kill(&self, n: usize) -> io::Result<()> {
         self.balancers.halt(n)?;
-        self.entrances[n].is_open.set(false);
+        self.entrances[n].accepts_connections.set(false);
         self.start_again(n).await
     }
 
     /// What was told to the process before is not held against the next one.
     async fn start_again(&self, n: usize) -> io::Result<()> {
-        self.told[n].write(Note::Killed);
+        self.told[n].record(Note::Killed);
         let began = self.book.now();
         self.balancers.back(n).await?;
         let took = self.book.now() - began;
         if took > READY_MS {
             self.late.borrow_mut().push(format!("b{n}: ready after {took:.0} ms"));
         }
-        self.entrances[n].is_open.set(true);
+        self.entrances[n].accepts_connections.set(true);
         Ok(())
     }
 
@@ -276,7 +285,7 @@
             old.kill()?;
             old.wait()?;
         }
-        self.told[n].write(Note::Killed);
+        self.told[n].record(Note::Killed);
         Ok(())
     }
 
--- a/lab/src/soak/scenario.rs
+++ b/lab/src/soak/scenario.rs
@@ -2,7 +2,7 @@
 
 use super::{Options, Plant};
 use marllink_emulator::platform::rules::Rules;
-use marllink_emulator::platform::{ClassOf, Manner};
+use marllink_emulator::platform::{ClientClass, ServerBehavior};
 use rand::rngs::SmallRng;
 use rand::seq::{IndexedRandom, SliceRandom};
 use rand::{Rng, SeedableRng};
@@ -56,7 +56,7 @@
     /// The old process is killed while an upgrade is under way.
     KilledUpgrade(usize),
     /// A server behaves so from now on.
-    Behave(usize, Manner),
+    Behave(usize, ServerBehavior),
     /// A server is told as draining, and serves again after so many ms.
     Drain(usize, f64),
     /// Discovery is down for so many ms.
@@ -77,7 +77,7 @@
     /// Whether lists are pushed.
     pub pushed: bool,
     /// Classes, and which of them must not run twice.
-    pub classes: Vec<ClassOf>,
+    pub classes: Vec<ClientClass>,
     once: Vec<bool>,
     /// Clients in all.
     pub clients: usize,
@@ -127,7 +127,7 @@
         let lasts_ms = options.seconds * 1_000.0;
         let once = vec![false, rng.random()];
         let short = [300.0, 500.0, 900.0, 1_500.0, 3_000.0][rng.random_range(0..5)];
-        let class = |number: u8, name: &str, wait_ms| ClassOf { number, name: name.into(), wait_ms };
+        let class = |number: u8, name: &str, wait_ms| ClientClass { number, name: name.into(), wait_ms };
         let classes = vec![class(0, "watch", short), class(1, "file", 2.0 * short)];
         let pushed = rng.random();
         let stores = rng.random();
@@ -157,7 +157,12 @@
 
     /// The rules of this deployment.
     pub fn rules(&self) -> Rules {
-        Rules { attempts: ATTEMPTS, grace_ms: GRACE_MS, advice_ms: Some(ADVICE_MS), once: self.once.clone() }
+        Rules {
+            max_attempts: ATTEMPTS,
+            drain_grace_ms: GRACE_MS,
+            max_retry_after_ms: Some(ADVICE_MS),
+            non_idempotent: self.once.clone(),
+        }
     }
 
     /// SIGKILL comes so long after SIGTERM.
@@ -168,7 +173,7 @@
 
     /// The settings of one process.
     pub fn settings(&self, process: usize) -> Value {
-        let class = |class: &ClassOf| {
+        let class = |class: &ClientClass| {
             let once = self.once[usize::from(class.number)];
             json!({"name": class.name, "goalTimeMs": class.wait_ms / 2.0, "deadlineMs": class.wait_ms,
                 "semantics": if once { "once" } else { "repeatable" }, "importance": 1.0})
@@ -237,13 +242,13 @@
 /// Half of the servers misbehave for a while, one way after another.
 fn server_faults(rng: &mut SmallRng, servers: usize) -> Vec<(f64, Fault)> {
     let manners = [
-        Manner::Busy,
-        Manner::Errs,
-        Manner::Resets,
-        Manner::Mute,
-        Manner::Pieces,
-        Manner::Slow(120),
-        Manner::BreaksAfter(30),
+        ServerBehavior::Busy,
+        ServerBehavior::Errs,
+        ServerBehavior::Resets,
+        ServerBehavior::Mute,
+        ServerBehavior::Pieces,
+        ServerBehavior::Slow(120),
+        ServerBehavior::BreaksAfter(30),
     ];
     let mut faults = Vec::new();
     for server in 0..servers / 2 {
@@ -251,7 +256,8 @@
             let at = any_time(rng);
             let manner = *manners.choose(rng).expect("there are some");
             faults.push((at, Fault::Behave(server, manner)));
-            faults.push((at + rng.random_range(200.0..1_200.0), Fault::Behave(server, Manner::Serves)));
+            faults
+                .push((at + rng.random_range(200.0..1_200.0), Fault::Behave(server, ServerBehavior::Serves)));
         }
     }
     faults
--- a/lab/src/soak/verdict.rs
+++ b/lab/src/soak/verdict.rs
@@ -3,7 +3,7 @@
 use super::player::Record;
 use super::scenario::Scenario;
 use super::write_lines;
-use marllink_emulator::platform::rules::{Found, judge};
+use marllink_emulator::platform::rules::{Findings, check};
 use marllink_emulator::platform::{Note, PROCESS_SHIFT};
 use std::collections::BTreeMap;
 use std::io;
@@ -52,16 +52,16 @@
         }
         for (process, mut own) in of_process.into_iter().enumerate() {
             own.sort_by(|a, b| a.0.total_cmp(&b.0));
-            verdict.add(process, judge(&own, &scenario.rules()));
+            verdict.add(process, check(&own, &scenario.rules()));
         }
         verdict
     }
 
-    fn add(&mut self, process: usize, found: Found) {
-        self.asked += found.asked;
+    fn add(&mut self, process: usize, found: Findings) {
+        self.asked += found.requests;
         self.served += found.served;
-        self.sent += found.sent;
-        self.broken.extend(found.broken.iter().map(|broken| format!("b{process}: {broken}")));
+        self.sent += found.attempts;
+        self.broken.extend(found.violations.iter().map(|broken| format!("b{process}: {broken}")));
         self.late.extend(found.late.iter().map(|late| format!("b{process}: {late}")));
     }
 
--- a/sessions/tests/rules.rs
+++ b/sessions/tests/rules.rs
@@ -3,16 +3,16 @@
 
 mod world;
 
-use marllink_emulator::judge::Verdict;
-use marllink_emulator::model::Plant;
+use marllink_emulator::checker::Verdict;
+use marllink_emulator::model::InjectedBug;
 use marllink_sessions::Settings;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use world::{Fault, Place, World};
 
 fn kept(verdict: &Verdict) {
-    assert!(verdict.kept(), "{:#?}", verdict);
-    assert_eq!(verdict.given_up, 0, "{:#?}", verdict.findings);
+    assert!(verdict.passed(), "{:#?}", verdict);
+    assert_eq!(verdict.abandoned_sessions, 0, "{:#?}", verdict.findings);
 }
 
 #[test]
@@ -22,7 +22,7 @@
     let verdict = world.finish();
     kept(&verdict);
     assert_eq!((verdict.sessions, verdict.resumed), (20, 0));
-    assert!(verdict.saved > 1_000, "{}", verdict.saved);
+    assert!(verdict.confirmed_saves > 1_000, "{}", verdict.confirmed_saves);
 }
 
 #[test]
@@ -39,7 +39,7 @@
 
 /// Kills, stalls and splits of everything, drawn by a seed. Never more than one keeper of three at a
 /// time is lost, so no session may be.
-fn chaos(seed: u64, plant: Option<Plant>) -> Verdict {
+fn chaos(seed: u64, plant: Option<InjectedBug>) -> Verdict {
     let (balancers, hosts) = (3, 8);
     let mut world = World::new(seed, balancers, hosts, 40, Settings::default(), plant);
     let mut rng = SmallRng::seed_from_u64(seed ^ 0xfa17);
@@ -72,12 +72,12 @@
 fn no_fault_has_a_session_held_twice_or_a_field_lost() {
     for seed in 0..12 {
         let verdict = chaos(seed, None);
-        assert!(verdict.kept(), "seed {seed}: {verdict:#?}");
+        assert!(verdict.passed(), "seed {seed}: {verdict:#?}");
         assert!(verdict.resumed > 20, "seed {seed}: {}", verdict.resumed);
     }
 }
 
-fn found(plant: Plant, count: fn(&Verdict) -> usize) {
+fn found(plant: InjectedBug, count: fn(&Verdict) -> usize) {
     let verdicts: Vec<_> = (0..2).map(|seed| chaos(seed, Some(plant))).collect();
     assert!(verdicts.iter().any(|v| count(v) > 0), "{plant:?}: {:?}", verdicts[0].findings);
 }
@@ -85,7 +85,7 @@
 #[test]
 fn a_keeper_that_promises_to_everybody_is_found_out() {
     // Two owners of one session write over each other without an end: a few are enough.
-    let mut world = World::new(1, 2, 5, 4, Settings::default(), Some(Plant::HeldTwice));
+    let mut world = World::new(1, 2, 5, 4, Settings::default(), Some(InjectedBug::HeldTwice));
     world.run_for(2_000.0);
     for d in 0..4 {
         world.twins(d, &[0, 1]);
@@ -96,10 +96,10 @@
 
 #[test]
 fn a_keeper_that_keeps_nothing_is_found_out() {
-    found(Plant::LostField, |v| v.missing);
+    found(InjectedBug::LostField, |v| v.missing_saves);
 }
 
 #[test]
 fn a_holder_that_applies_a_save_again_is_found_out() {
-    found(Plant::DoubleApply, |v| v.applied_twice);
+    found(InjectedBug::DoubleApply, |v| v.applied_twice);
 }
--- a/sessions/tests/world/mod.rs
+++ b/sessions/tests/world/mod.rs
@@ -3,8 +3,11 @@
 #![allow(missing_docs, dead_code, reason = "each test uses a part of it")]
 
 use marllink::{RequestId, ServerId, ZoneId};
-use marllink_emulator::judge::{Verdict, judge};
-use marllink_emulator::model::{Drafter, Entry, Habits, Holder, Keeper, Note, Plant, Say, Wish};
+use marllink_emulator::checker::{Verdict, check};
+use marllink_emulator::model::{
+    ClientAction, Entry, HolderAction, InjectedBug, LeaseHolder, LeaseReplica, Note, SessionClient,
+    SessionClientConfig,
+};
 use marllink_lease_protocol::{Ballot, Call, Field, Reply, SessionId, call, reply};
 use marllink_sessions::{Ask, Command, Event, KeyRing, Listed, Sessions, Settings};
 use rand::rngs::SmallRng;
@@ -89,8 +92,8 @@
 }
 
 struct Host {
-    keeper: Keeper,
-    holder: Holder,
+    keeper: LeaseReplica,
+    holder: LeaseHolder,
     life: u64,
     up: bool,
     rate: f64,
@@ -104,7 +107,7 @@
     rng: SmallRng,
     balancers: Vec<Balancer>,
     hosts: Vec<Host>,
-    pub drafters: Vec<Drafter>,
+    pub drafters: Vec<SessionClient>,
     client_of: Vec<Option<(usize, u64)>>,
     pub entries: Vec<Entry>,
     next_conn: u64,
@@ -114,22 +117,22 @@
     cuts: Vec<(usize, f64, f64)>,
     pub settings: Settings,
     pub latency: f64,
-    plant: Option<Plant>,
+    plant: Option<InjectedBug>,
     key: u32,
     first_twin: usize,
 }
 
-pub fn habits(balancers: usize) -> Habits {
-    Habits {
-        save_every_ms: 60.0,
-        fields: 8,
+pub fn habits(balancers: usize) -> SessionClientConfig {
+    SessionClientConfig {
+        save_interval_ms: 60.0,
+        field_count: 8,
         value_bytes: 20,
-        in_flight: 4,
-        back_from_ms: 170.0,
-        back_to_ms: 1_700.0,
-        balancers,
-        wait_ms: 4_800.0,
-        stubborn: true,
+        max_unconfirmed: 4,
+        min_reconnect_delay_ms: 170.0,
+        max_reconnect_delay_ms: 1_700.0,
+        balancer_count: balancers,
+        answer_timeout_ms: 4_800.0,
+        resumes_after_taken: true,
     }
 }
 
@@ -140,14 +143,14 @@
         hosts: usize,
         drafters: usize,
         settings: Settings,
-        plant: Option<Plant>,
+        plant: Option<InjectedBug>,
     ) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let rate = |rng: &mut SmallRng| 1.0 + rng.random_range(-0.009..0.009);
         let hosts: Vec<_> = (0..hosts)
             .map(|_| Host {
-                keeper: Keeper::new(100_000, plant),
-                holder: Holder::new(plant),
+                keeper: LeaseReplica::new(100_000, plant),
+                holder: LeaseHolder::new(plant),
                 life: 1,
                 up: true,
                 rate: rate(&mut rng),
@@ -194,7 +197,7 @@
         }
         for d in 0..drafters {
             let at = world.now + 200.0 + world.rng.random_range(0.0..500.0);
-            world.drafters.push(Drafter::new(d as u64 + 1, habits(balancers), seed, at));
+            world.drafters.push(SessionClient::new(d as u64 + 1, habits(balancers), seed, at));
             world.at(at - world.now, Place::Drafter(d), What::Wake);
         }
         world
@@ -274,22 +277,25 @@
 
     /// Has all that was sent be confirmed, and judges.
     pub fn finish(&mut self) -> Verdict {
-        self.drafters.iter_mut().for_each(Drafter::finish);
+        self.drafters.iter_mut().for_each(SessionClient::stop_saving);
         for _ in 0..60 {
             self.run_for(500.0);
-            if self.drafters[..self.first_twin].iter().all(Drafter::settled) {
+            if self.drafters[..self.first_twin].iter().all(SessionClient::is_settled) {
                 break;
             }
         }
-        let unsettled: Vec<_> =
-            self.drafters[..self.first_twin].iter().filter(|d| !d.settled()).map(Drafter::name).collect();
+        let unsettled: Vec<_> = self.drafters[..self.first_twin]
+            .iter()
+            .filter(|d| !d.is_settled())
+            .map(SessionClient::name)
+            .collect();
         assert!(unsettled.is_empty(), "{unsettled:?} never got what they had confirmed");
         self.judge()
     }
 
     pub fn judge(&self) -> Verdict {
         let cuts = self.cuts.clone();
-        judge(&self.entries, |b, from, to| cuts.iter().any(|(c, f, t)| *c == b && *f <= to && *t >= from))
+        check(&self.entries, |b, from, to| cuts.iter().any(|(c, f, t)| *c == b && *f <= to && *t >= from))
     }
 
     fn write(&mut self, by: String, note: Note) {
@@ -326,10 +332,10 @@
             Place::Host(h) => {
                 let mut says = Vec::new();
                 let local = self.now * self.hosts[h].rate;
-                self.hosts[h].holder.killed(local, &mut says);
+                self.hosts[h].holder.kill(local, &mut says);
                 self.hosts[h].life += 1;
                 self.hosts[h].up = false;
-                self.hosts[h].keeper = Keeper::new(100_000, self.plant);
+                self.hosts[h].keeper = LeaseReplica::new(100_000, self.plant);
                 let conns = std::mem::take(&mut self.hosts[h].conns);
                 let mut conns: Vec<_> = conns.into_iter().collect();
                 conns.sort_unstable();
@@ -648,9 +654,9 @@
                 self.hosts[h].conns.insert(conn, b);
                 self.hosts[h].holder.open(now, conn, session, ballot, &mut says);
             }
-            What::Line(conn, line) => _ = self.hosts[h].holder.line(now, conn, &line, &mut says),
+            What::Line(conn, line) => _ = self.hosts[h].holder.handle_line(now, conn, &line, &mut says),
             What::Ended(conn) => {
-                self.hosts[h].holder.closed(now, conn, &mut says);
+                self.hosts[h].holder.handle_close(now, conn, &mut says);
                 if let Some(b) = self.hosts[h].conns.remove(&conn) {
                     self.send(here, Place::Balancer(b), conn, What::HostEnds(conn));
                 }
@@ -673,21 +679,21 @@
         self.says(h, says);
     }
 
-    fn says(&mut self, h: usize, says: Vec<Say>) {
+    fn says(&mut self, h: usize, says: Vec<HolderAction>) {
         let here = Place::Host(h);
         for say in says {
             match say {
-                Say::Line(conn, line) => {
+                HolderAction::SendLine(conn, line) => {
                     if let Some(b) = self.hosts[h].conns.get(&conn).copied() {
                         self.send(here, Place::Balancer(b), conn, What::HostLine(conn, line));
                     }
                 }
-                Say::Close(conn) => {
+                HolderAction::Close(conn) => {
                     if let Some(b) = self.hosts[h].conns.remove(&conn) {
                         self.send(here, Place::Balancer(b), conn, What::HostEnds(conn));
                     }
                 }
-                Say::Note(note) => self.write(format!("h{h}"), note),
+                HolderAction::Record(note) => self.write(format!("h{h}"), note),
             }
         }
     }
@@ -699,14 +705,14 @@
         let now = self.now;
         match what {
             What::Fault(fault) => return self.on_fault(fault),
-            What::Wake if d >= self.first_twin => wishes.push(Wish::Close),
-            What::Wake => self.drafters[d].wake(now, &mut wishes),
+            What::Wake if d >= self.first_twin => wishes.push(ClientAction::Close),
+            What::Wake => self.drafters[d].handle_timer(now, &mut wishes),
             What::Answer(client, line) if self.is_current(d, client) => {
-                self.drafters[d].line(now, &line, &mut wishes)
+                self.drafters[d].handle_line(now, &line, &mut wishes)
             }
             What::Cut(client, how) if self.is_current(d, client) => {
                 self.client_of[d] = None;
-                self.drafters[d].ended(now, how, &mut wishes);
+                self.drafters[d].handle_close(now, how, &mut wishes);
             }
             _ => {}
         }
@@ -719,10 +725,10 @@
         self.client_of[d].is_some_and(|(_, c)| c == client)
     }
 
-    fn fulfil(&mut self, d: usize, wish: Wish) {
+    fn fulfil(&mut self, d: usize, wish: ClientAction) {
         let here = Place::Drafter(d);
         match wish {
-            Wish::Connect(b, line) => {
+            ClientAction::Connect(b, line) => {
                 let client = self.next_conn;
                 self.next_conn += 1;
                 self.client_of[d] = Some((b, client));
@@ -732,21 +738,21 @@
                     self.at(1.0, here, What::Cut(client, "refused"));
                 }
             }
-            Wish::Line(line) => {
+            ClientAction::SendLine(line) => {
                 if let Some((b, client)) = self.client_of[d] {
                     self.send(here, Place::Balancer(b), client, What::ClientLine(client, line));
                 }
             }
-            Wish::Close => {
+            ClientAction::Close => {
                 if let Some((b, client)) = self.client_of[d].take() {
                     self.send(here, Place::Balancer(b), client, What::ClientEnds(client));
                 }
             }
-            Wish::Note(note) => {
+            ClientAction::Record(note) => {
                 let name = self.drafters[d].name();
                 self.write(name, note);
             }
-            Wish::Wake(at) => self.at(at - self.now, here, What::Wake),
+            ClientAction::WakeAt(at) => self.at(at - self.now, here, What::Wake),
         }
     }
 
@@ -756,12 +762,12 @@
         let mut twins = Vec::new();
         for b in at {
             let habits = habits(self.balancers.len());
-            let mut twin = Drafter::new(10_000 + self.drafters.len() as u64, habits, 1, f64::INFINITY);
-            twin.finish();
+            let mut twin = SessionClient::new(10_000 + self.drafters.len() as u64, habits, 1, f64::INFINITY);
+            twin.stop_saving();
             self.drafters.push(twin);
             self.client_of.push(None);
             let t = self.drafters.len() - 1;
-            self.fulfil(t, Wish::Connect(*b, format!("OPEN 1 2 c=x,d=4800,s={token}")));
+            self.fulfil(t, ClientAction::Connect(*b, format!("OPEN 1 2 c=x,d=4800,s={token}")));
             // It only looks in.
             self.at(700.0, Place::Drafter(t), What::Wake);
             twins.push(t);
@@ -770,7 +776,7 @@
     }
 
     pub fn holders(&self) -> usize {
-        self.hosts.iter().map(|h| h.holder.count()).sum()
+        self.hosts.iter().map(|h| h.holder.session_count()).sum()
     }
 
     pub fn sessions(&self, b: usize) -> &Sessions {
@@ -778,6 +784,10 @@
     }
 
     pub fn hosts_with_notes(&self) -> HashSet<String> {
-        self.entries.iter().filter(|e| matches!(e.note, Note::Holds { .. })).map(|e| e.by.clone()).collect()
+        self.entries
+            .iter()
+            .filter(|e| matches!(e.note, Note::LeaseAcquired { .. }))
+            .map(|e| e.by.clone())
+            .collect()
     }
 }
