--- a/fleet/src/faults.rs
+++ b/fleet/src/faults.rs
@@ -4,7 +4,7 @@
 use crate::scenario::FaultKind;
 use crate::simulation::{Event, Simulation};
 use marllink::{Event as BalancerEvent, InjectedBug, RequestId, ServerId, Symptom};
-use marllink_emulator::model::crowd::{Gap, Phase};
+use marllink_emulator::model::fluid::{Phase, ReconnectReason};
 use rand::Rng;
 use rand::seq::SliceRandom;
 
@@ -48,7 +48,7 @@
             }
             FaultKind::GroupReconnect => {
                 for request in self.largest_group_requests() {
-                    self.disconnect_client(request, Gap::CutOff);
+                    self.disconnect_client(request, ReconnectReason::Disconnected);
                 }
             }
             FaultKind::Reconnect { share } => self.disconnect_share(share),
@@ -97,7 +97,7 @@
             FaultKind::FailServers { share, rate, for_s } => {
                 for server in self.draw_share(self.servers.len(), share) {
                     self.unaffected[server] = false;
-                    self.servers[server].fails = rate;
+                    self.servers[server].failure_ratio = rate;
                 }
                 schedule_end(self, for_s);
             }
@@ -106,7 +106,7 @@
                 for server in self.draw_share(self.servers.len(), share) {
                     self.unaffected[server] = false;
                     self.servers[server].advance(now);
-                    self.servers[server].slowed = factor;
+                    self.servers[server].speed_ratio = factor;
                 }
                 schedule_end(self, for_s);
             }
@@ -119,7 +119,9 @@
                 schedule_end(self, for_s);
             }
             FaultKind::LowerConnectionLimits { factor, for_s } => {
-                self.servers.iter_mut().for_each(|s| s.form.most = (s.form.most as f64 * factor) as usize);
+                self.servers.iter_mut().for_each(|s| {
+                    s.config.max_connections = (s.config.max_connections as f64 * factor) as usize
+                });
                 schedule_end(self, for_s);
             }
             FaultKind::DropNewConnections { share, for_s } => {
@@ -129,7 +131,9 @@
                 }
                 schedule_end(self, for_s);
             }
-            FaultKind::BusyDiscovery { for_s } => self.discovery.refuses_until = self.now() + for_s * 1_000.0,
+            FaultKind::BusyDiscovery { for_s } => {
+                self.discovery.overloaded_until = self.now() + for_s * 1_000.0
+            }
             FaultKind::DiscoveryDown { for_s } => self.discovery.down_until = self.now() + for_s * 1_000.0,
         }
     }
@@ -146,33 +150,35 @@
                     self.restart_unresponsive(server);
                 }
             }
-            FaultKind::FailServers { .. } => self.servers.iter_mut().for_each(|s| s.fails = 0.0),
+            FaultKind::FailServers { .. } => self.servers.iter_mut().for_each(|s| s.failure_ratio = 0.0),
             FaultKind::DropNewConnections { .. } => self.servers.iter_mut().for_each(|s| s.drops_new = false),
             FaultKind::SlowServers { .. } => {
                 for server in &mut self.servers {
                     server.advance(now);
-                    server.slowed = 1.0;
+                    server.speed_ratio = 1.0;
                 }
             }
             FaultKind::LateReports { .. } => self.report_delay_ms = 0.0,
             FaultKind::FailProbes { .. } => self.probes_refused = None,
             FaultKind::LowerConnectionLimits { factor, .. } => {
                 let factor = *factor;
-                self.servers.iter_mut().for_each(|s| s.form.most = (s.form.most as f64 / factor) as usize);
+                self.servers.iter_mut().for_each(|s| {
+                    s.config.max_connections = (s.config.max_connections as f64 / factor) as usize
+                });
             }
             _ => {}
         }
     }
 
     fn servers_in_zone(&self, zone: usize) -> Vec<usize> {
-        (0..self.servers.len()).filter(|s| self.servers[*s].form.zone == zone).collect()
+        (0..self.servers.len()).filter(|s| self.servers[*s].config.zone == zone).collect()
     }
 
     /// Breaks each established connection with this probability.
     fn disconnect_share(&mut self, share: f64) {
         for request in self.established_requests() {
             if self.rng.random::<f64>() < share {
-                self.disconnect_client(request, Gap::CutOff);
+                self.disconnect_client(request, ReconnectReason::Disconnected);
             }
         }
     }
@@ -263,13 +269,13 @@
     pub(crate) fn record_slow_start_arrival(&mut self, server: usize) {
         let now = self.now();
         let rules = self.balancers[0].settings.rules.clone();
-        let form = &self.servers[server].form;
+        let form = &self.servers[server].config;
         let age = now - self.servers[server].started_at();
-        if age >= form.warm_ms || self.servers[server].started_at() <= 0.0 {
+        if age >= form.warm_up_ms || self.servers[server].started_at() <= 0.0 {
             return;
         }
         let full_connections = form.cores * self.shape.connections_per_core;
-        let rate = full_connections / rules.warm_up_ms * self.servers[server].warmth(now);
+        let rate = full_connections / rules.warm_up_ms * self.servers[server].warm_up_ratio(now);
         let allowed = rules.collapse_load_ratio * rate * rules.collapse_after_ms;
         let limit = allowed
             + if self.deployment.collapse_allows_variation {
--- a/fleet/src/simulation/lifecycle.rs
+++ b/fleet/src/simulation/lifecycle.rs
@@ -18,10 +18,10 @@
         };
         ServerEntry {
             server: ServerId(index as u64),
-            zone: marllink::ZoneId(server.form.zone as u8),
+            zone: marllink::ZoneId(server.config.zone as u8),
             cell: marllink::CellId(0),
             state,
-            weight: server.form.weight,
+            weight: server.config.weight,
             started_at: server.started_at().max(0.0),
         }
     }
@@ -118,11 +118,11 @@
         for request in std::mem::take(&mut self.balancers[balancer].requests) {
             let (now, client) = (self.now(), self.requests[request].client);
             if let Some(current) = self.requests[request].current_attempt.take().filter(|a| a.held) {
-                self.servers[current.server].release(now, request as u64);
+                self.servers[current.server].remove_connection(now, request as u64);
             }
             if self.requests[request].state != RequestState::Finished {
                 self.requests[request].state = RequestState::Finished;
-                self.schedule_reconnect(client, Gap::CutOff);
+                self.schedule_reconnect(client, ReconnectReason::Disconnected);
             }
         }
         let detection = DEAD_BALANCER_DETECTION_MS.0
