--- a/fleet/src/baseline.rs
+++ b/fleet/src/baseline.rs
@@ -34,7 +34,7 @@
 }
 
 impl GroundTruth {
-    /// Adds a snapshot, and removes those that the oldest one needed, at `delay_ms` ago, has replaced.
+    /// Adds a snapshot, and removes those that are too old to be the latest one of `delay_ms` ago.
     pub fn record(&mut self, now: Millis, delay_ms: Millis, servers: Vec<ServerSnapshot>) {
         self.snapshots.push_back((now, servers));
         while self.snapshots.get(1).is_some_and(|(at, _)| *at <= now - delay_ms) {
--- a/fleet/src/scenario.rs
+++ b/fleet/src/scenario.rs
@@ -281,7 +281,7 @@
     #[default]
     #[serde(rename = "fresh")]
     Current,
-    /// The list as of the begin of the scenario, with servers that have drained or stopped since.
+    /// The list as of the beginning of the scenario, with servers that have drained or stopped since.
     #[serde(rename = "old")]
     Outdated,
     /// No list.
@@ -364,7 +364,7 @@
     /// The served ratio over the worst 5 s.
     #[serde(rename = "worst")]
     WorstServedRatio,
-    /// The served ratio of the tenant that is served worst, over the time in which it is within its quota.
+    /// The lowest served ratio of any tenant, over the time in which the tenant is within its quota.
     #[serde(rename = "least-tenant")]
     WorstTenantServedRatio,
     /// Largest relative error of a server size's share of established connections against its share of the
--- a/fleet/src/setup.rs
+++ b/fleet/src/setup.rs
@@ -104,8 +104,8 @@
     }
 }
 
-/// Creates discovery. A call takes time in proportion to the number of servers in the list, up to four times
-/// the time for 90 of them.
+/// Creates discovery. A call transfers one line for each server, and each of its slots serves a few tens of calls
+/// a second with a list of 90 servers. The time grows with the list, up to four times that.
 pub fn discovery(shape: &Shape, rng: &mut SmallRng) -> Calls {
     let transfer_ms = 20.0 * rng.random_range(0.5..1.5) * (shape.servers as f64 / 90.0).min(4.0);
     Calls::new(Service { places: 4, call_ms: transfer_ms, patience_ms: 2_000.0 })
