--- a/fleet/src/baseline.rs
+++ b/fleet/src/baseline.rs
@@ -22,7 +22,7 @@
     /// Its capacity at that time, in standard cores.
     pub capacity: f64,
     /// Its load as a ratio to its capacity.
-    pub load_ratio: f64,
+    pub utilization: f64,
     /// True if it accepts new connections and fails none of them.
     pub healthy: bool,
 }
@@ -92,12 +92,12 @@
                 snapshot.healthy && untried(&snapshot.server) && self.ready.contains(&snapshot.server)
             };
             let free_capacity =
-                |snapshot: &ServerSnapshot| (0.85 - snapshot.load_ratio).max(0.0) * snapshot.capacity;
+                |snapshot: &ServerSnapshot| (0.85 - snapshot.utilization).max(0.0) * snapshot.capacity;
             let same_zone: Vec<_> = ground_truth
                 .delayed()
                 .iter()
                 .filter(usable)
-                .filter(|s| s.zone == self.zone && s.load_ratio < 0.75)
+                .filter(|s| s.zone == self.zone && s.utilization < 0.75)
                 .collect();
             let all: Vec<_> = ground_truth.delayed().iter().filter(usable).collect();
             for candidates in [same_zone, all] {
--- a/fleet/src/setup.rs
+++ b/fleet/src/setup.rs
@@ -7,7 +7,9 @@
     Class as ClassSettings, Discovery, Idempotency, Limits, NodeId, Prices, ReportField, Rules, Settings,
     ZoneId,
 };
-use marllink_emulator::model::crowd::{Calls, Class, Form, Host, Manners, Service};
+use marllink_emulator::model::fluid::{
+    Class, DiscoveryLimits, DiscoveryService, ReconnectPolicy, Server, ServerConfig,
+};
 use rand::Rng;
 use rand::rngs::SmallRng;
 use rand_distr::{Distribution, LogNormal};
@@ -45,11 +47,11 @@
     let mean: f64 = deployment.classes.iter().map(|c| c.share * c.load).sum();
     let of = |class: &ConnectionClass, tenant| Class {
         share: class.share * deployment.tenant_share(tenant),
-        worth: class.value,
+        value: class.value,
         load: class.load / mean / connections_per_core,
-        set_up_ms: 8.0,
-        message_aim_ms: class.message_goal_ms,
-        ease: class.headroom_ratio,
+        setup_work_ms: 8.0,
+        message_goal_ms: class.message_goal_ms,
+        goal_to_usual_ratio: class.goal_to_usual_ratio,
     };
     let tenants = deployment.tenant_count();
     deployment.classes.iter().flat_map(|class| (0..tenants).map(move |tenant| of(class, tenant))).collect()
@@ -69,7 +71,7 @@
     zones: usize,
     classes: &[Class],
     rng: &mut SmallRng,
-) -> Vec<Host> {
+) -> Vec<Server> {
     let by_zone = zone_shares(&scenario.server_shares, zones);
     let sizes: Vec<f64> = deployment.server_sizes.iter().map(|size| size.share).collect();
     let speed_distribution = LogNormal::new(0.0, SPEED_SIGMA).expect("sigma is finite and positive");
@@ -78,37 +80,37 @@
             let ServerSize { cores, speed, .. } = deployment.server_sizes[draw_index(&sizes, rng)];
             // Each zone has at least one server, however small its share.
             let zone = if index < zones { index } else { draw_index(&by_zone, rng) };
-            let form = Form {
+            let config = ServerConfig {
                 zone,
                 weight: cores * speed,
                 cores: cores * speed * speed_distribution.sample(rng),
-                most: (cores * shape.max_connections_per_core) as usize,
-                patience_ms: 400.0,
-                buffer_ms: 1_500.0,
-                cold_from: deployment.initial_capacity_ratio,
-                warm_ms: deployment.warm_up_ms,
+                max_connections: (cores * shape.max_connections_per_core) as usize,
+                max_setup_wait_ms: 400.0,
+                max_backlog_ms: 1_500.0,
+                initial_capacity_ratio: deployment.initial_capacity_ratio,
+                warm_up_ms: deployment.warm_up_ms,
                 group_load: deployment.groups.map_or(0.0, |g| g.cost / shape.connections_per_core),
             };
-            Host::new(form, classes, -1e9, 0.0)
+            Server::new(config, classes, -1e9, 0.0)
         })
         .collect()
 }
 
-pub fn client_behaviour(rng: &mut SmallRng) -> Manners {
-    Manners {
-        honours: 0.4 * rng.random::<f64>(),
-        rejoin_ms: (170.0, 1_700.0),
-        back_off_ms: (40.0, 320.0),
-        move_ms: (20.0, 200.0),
-        deadline_ms: 4_800.0,
+pub fn reconnect_policy(rng: &mut SmallRng) -> ReconnectPolicy {
+    ReconnectPolicy {
+        honors_retry_after_ratio: 0.4 * rng.random::<f64>(),
+        reconnect_delay_ms: (170.0, 1_700.0),
+        backoff_ms: (40.0, 320.0),
+        move_delay_ms: (20.0, 200.0),
+        attempt_timeout_ms: 4_800.0,
     }
 }
 
 /// Creates discovery. A call transfers one line for each server, and each of its slots serves a few tens of calls
 /// a second with a list of 90 servers. The time grows with the list, up to four times that.
-pub fn discovery(shape: &Shape, rng: &mut SmallRng) -> Calls {
+pub fn discovery(shape: &Shape, rng: &mut SmallRng) -> DiscoveryService {
     let transfer_ms = 20.0 * rng.random_range(0.5..1.5) * (shape.servers as f64 / 90.0).min(4.0);
-    Calls::new(Service { places: 4, call_ms: transfer_ms, patience_ms: 2_000.0 })
+    DiscoveryService::new(DiscoveryLimits { concurrency: 4, call_ms: transfer_ms, queue_timeout_ms: 2_000.0 })
 }
 
 pub fn balancers(
--- a/fleet/src/simulation.rs
+++ b/fleet/src/simulation.rs
@@ -17,7 +17,9 @@
     Action, AttemptNo, ClassId, Event as BalancerEvent, InjectedBug, ListKind, NewRequest, Outcome,
     RequestId, ServerEntry, ServerId, ServerState, Symptom, TimerToken,
 };
-use marllink_emulator::model::crowd::{Answer, Calls, Class, Client, Gap, Host, Manners, Phase};
+use marllink_emulator::model::fluid::{
+    Answer, Class, Client, DiscoveryService, Phase, ReconnectPolicy, ReconnectReason, Server,
+};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp, LogNormal};
@@ -210,9 +212,9 @@
     tenant_quotas: Vec<f64>,
     /// Servers that have sent a notice of slow messages and not yet one that they are fast again.
     slow_notified: Vec<bool>,
-    pub servers: Vec<Host>,
+    pub servers: Vec<Server>,
     pub balancers: Vec<SimulatedBalancer>,
-    pub discovery: Calls,
+    pub discovery: DiscoveryService,
     pub metrics: MetricsCollector,
     /// Zones that are cut off from all others by a network partition.
     pub partitioned_zones: Vec<bool>,
@@ -234,7 +236,7 @@
     pub collapsed: Vec<bool>,
     past_reports: Vec<Vec<(Millis, [f32; 2])>>,
     seed: u64,
-    client_behaviour: Manners,
+    reconnect_policy: ReconnectPolicy,
     clients: Vec<Client>,
     requests: Vec<ClientRequest>,
     /// Number of connections that clients want, by class.
@@ -263,7 +265,7 @@
         let deployment = scenario.deployment.as_ref().unwrap_or(&shape.deployment).clone();
         let classes = setup::classes(&deployment, shape.connections_per_core);
         let servers = setup::servers(shape, scenario, &deployment, zones, &classes, &mut rng);
-        let cores: f64 = servers.iter().map(|s| s.form.cores).sum();
+        let cores: f64 = servers.iter().map(|s| s.config.cores).sum();
         let mut balancers = setup::balancers(shape, &deployment, zones, cores, &mut rng);
         if strategy.injects(InjectedBug::TenantQuotasUnknown) {
             balancers.iter_mut().for_each(|balancer| balancer.settings.tenants.clear());
@@ -276,8 +278,8 @@
         let tenants = deployment.tenant_count();
         let ground_truth_delay_ms =
             if let Strategy::Oracle { delay_ms } = strategy { *delay_ms } else { 0.0 };
-        let (client_behaviour, discovery) =
-            (setup::client_behaviour(&mut rng), setup::discovery(shape, &mut rng));
+        let (reconnect_policy, discovery) =
+            (setup::reconnect_policy(&mut rng), setup::discovery(shape, &mut rng));
         let mut simulation = Self {
             queue: EventQueue::new(),
             shape: shape.clone(),
@@ -304,7 +306,7 @@
             collapsed: vec![false; server_count],
             past_reports: vec![Vec::new(); server_count],
             seed,
-            client_behaviour,
+            reconnect_policy,
             clients: Vec::new(),
             requests: Vec::new(),
             wanted_connections: vec![0.0; classes.len()],
@@ -331,10 +333,10 @@
             self.dispatch(event);
         }
         let sizes: Vec<_> = (0..self.servers.len())
-            .map(|s| self.unaffected[s].then(|| (self.servers[s].form.weight * 1_000.0) as u64))
+            .map(|s| self.unaffected[s].then(|| (self.servers[s].config.weight * 1_000.0) as u64))
             .collect();
         let set_up_work_ms =
-            self.metrics.established * self.classes.iter().map(|c| c.share * c.set_up_ms).sum::<f64>();
+            self.metrics.established * self.classes.iter().map(|c| c.share * c.setup_work_ms).sum::<f64>();
         let wasted_work_price = 0.18 * self.wasted_work_ms / set_up_work_ms.max(1.0) * 0.02;
         let prices = self.balancers[0].settings.prices.clone();
         let last_fault_s = self.scenario.faults.iter().map(|fault| fault.at_s).reduce(f64::max);
@@ -387,7 +389,7 @@
                 0 => setup::draw_index(&capacities, &mut self.rng),
                 _ => self.initial_server(group, &capacities),
             };
-            if self.servers[server].len() >= self.servers[server].form.most {
+            if self.servers[server].len() >= self.servers[server].config.max_connections {
                 continue;
             }
             let index = self.add_request(client, balancer);
@@ -395,7 +397,7 @@
             self.requests[index].attempts = 1;
             self.requests[index].current_attempt = Some(CurrentAttempt { attempt: 0, server, held: true });
             let Client { class, load, group, .. } = self.clients[client];
-            self.servers[server].hold(0.0, index as u64, class, load, group);
+            self.servers[server].add_connection(0.0, index as u64, class, load, group);
             let request = self.balancer_request(index);
             let server = ServerId(server as u64);
             self.handle_event(balancer, BalancerEvent::OpenConnection { request, server });
@@ -408,7 +410,7 @@
     /// Returns the normal rate of new clients in a zone, for each millisecond.
     fn arrival_rate(&self, zone: usize) -> f64 {
         let traffic = setup::zone_shares(&self.scenario.traffic_shares, self.zones);
-        let cores: f64 = self.servers.iter().map(|s| s.form.cores).sum();
+        let cores: f64 = self.servers.iter().map(|s| s.config.cores).sum();
         let connections = self.scenario.load * cores * self.shape.connections_per_core;
         traffic[zone] * connections / (self.shape.mean_lifetime_s * 1_000.0)
     }
@@ -463,7 +465,7 @@
             tenant: marllink::TenantId((class % tenants) as u16),
             // Scrambled, so that the id doesn't reveal the rank of the group by size.
             group: group.wrapping_mul(0x9e37_79b9_7f4a_7c15),
-            time_left_ms: self.client_behaviour.deadline_ms - CLIENT_LATENCY_MS,
+            time_left_ms: self.reconnect_policy.attempt_timeout_ms - CLIENT_LATENCY_MS,
             ..NewRequest::default()
         }
     }
@@ -539,7 +541,7 @@
                     // interval.
                     if (self.now() / (REPORT_INTERVAL_MS / 7.0)).round() as usize % 7 == server % 7 {
                         let (now, noise) = (self.now(), self.report_noise);
-                        self.servers[server].refresh(now, noise, &mut self.rng);
+                        self.servers[server].refresh_report(now, noise, &mut self.rng);
                         self.record_report(server);
                     }
                 }
@@ -552,7 +554,7 @@
             Event::ShedOverload => {
                 for server in 0..self.servers.len() {
                     let now = self.now();
-                    if let Some(id) = self.servers[server].sheds(now) {
+                    if let Some(id) = self.servers[server].shed_newest(now) {
                         self.drop_connection(id as usize);
                     }
                 }
@@ -592,7 +594,7 @@
     fn record_report(&mut self, server: usize) {
         let report = self.servers[server].report();
         let (now, reports) = (self.now(), &mut self.past_reports[server]);
-        reports.push((now, [report.load as f32, report.held as f32]));
+        reports.push((now, [report.load as f32, report.connections as f32]));
         if reports.len() > 16 {
             reports.remove(0);
         }
@@ -603,12 +605,12 @@
             return;
         }
         let now = self.now();
-        let snapshot = |(index, server): (usize, &Host)| ServerSnapshot {
+        let snapshot = |(index, server): (usize, &Server)| ServerSnapshot {
             server: ServerId(index as u64),
-            zone: server.form.zone,
+            zone: server.config.zone,
             capacity: server.capacity(now),
-            load_ratio: server.strain(now),
-            healthy: server.phase == Phase::Up && server.fails == 0.0,
+            utilization: server.utilization(now),
+            healthy: server.phase == Phase::Up && server.failure_ratio == 0.0,
         };
         let snapshots = self.servers.iter().enumerate().map(snapshot).collect();
         self.ground_truth.borrow_mut().record(now, self.ground_truth_delay_ms, snapshots);
@@ -621,7 +623,7 @@
         self.sampled_at = now;
         let mut served_seconds = vec![0.0; self.classes.len()];
         for server in &mut self.servers {
-            served_seconds.iter_mut().zip(server.earned(now)).for_each(|(sum, of)| *sum += of);
+            served_seconds.iter_mut().zip(server.on_time_seconds(now)).for_each(|(sum, of)| *sum += of);
         }
         let served: Vec<f64> =
             served_seconds.iter().zip(&self.served_seconds).map(|(now, before)| now - before).collect();
@@ -649,7 +651,7 @@
             let connections =
                 own().map(|class| seconds[class]).sum::<f64>() / elapsed_s.max(f64::MIN_POSITIVE);
             let within_ratio = (self.tenant_quotas[tenant] / connections.max(f64::MIN_POSITIVE)).min(1.0);
-            let full: f64 = own().map(|class| seconds[class] * self.classes[class].worth).sum();
+            let full: f64 = own().map(|class| seconds[class] * self.classes[class].value).sum();
             value.within_quota.push(if within_ratio < 1.0 { None } else { Some(full) });
             value.total +=
                 full * (within_ratio + (1.0 - within_ratio) * self.deployment.over_quota_value_ratio);
@@ -661,21 +663,21 @@
     /// second, and once more when messages are fast again.
     fn send_delay_notices(&mut self) {
         let now = self.now();
-        let strictest = self.classes.iter().min_by(|a, b| a.message_aim_ms.total_cmp(&b.message_aim_ms));
-        let Some(Class { message_aim_ms, ease, .. }) = strictest.cloned() else { return };
+        let strictest = self.classes.iter().min_by(|a, b| a.message_goal_ms.total_cmp(&b.message_goal_ms));
+        let Some(Class { message_goal_ms, goal_to_usual_ratio, .. }) = strictest.cloned() else { return };
         for server in 0..self.servers.len() {
             // Each server sends in one of ten phases, so that the notices are spread over the interval.
             if (now / (DELAY_NOTICE_INTERVAL_MS / 10.0)).round() as usize % 10 != server % 10 {
                 continue;
             }
             self.servers[server].advance(now);
-            let delay_ms = self.servers[server].delay_ms(now, message_aim_ms, ease);
-            let slow = self.servers[server].phase != Phase::Down && delay_ms > message_aim_ms / 3.0;
+            let delay_ms = self.servers[server].message_delay_ms(now, message_goal_ms, goal_to_usual_ratio);
+            let slow = self.servers[server].phase != Phase::Down && delay_ms > message_goal_ms / 3.0;
             if !std::mem::replace(&mut self.slow_notified[server], slow) && !slow {
                 continue;
             }
             let mut recipients = FxHashMap::default();
-            for id in self.servers[server].ids() {
+            for id in self.servers[server].connection_ids() {
                 if let Some(balancer) = self.balancer_if_established(id as usize, server) {
                     recipients.entry(balancer).or_insert(id);
                 }
@@ -692,19 +694,23 @@
 
     fn connect_client(&mut self, client: usize) {
         let zone = self.clients[client].zone;
-        let Some(balancer) = self.route(zone) else { return self.schedule_reconnect(client, Gap::Nobody) };
+        let Some(balancer) = self.route(zone) else {
+            return self.schedule_reconnect(client, ReconnectReason::Unreachable);
+        };
         if self.balancers[balancer].policy.is_none() {
             // The front end has not yet noticed that the balancer is down.
-            return self.schedule_reconnect(client, Gap::Nobody);
+            return self.schedule_reconnect(client, ReconnectReason::Unreachable);
         }
         let request = self.add_request(client, balancer);
         self.queue.schedule_after(CLIENT_LATENCY_MS, Event::RequestReachesBalancer(request));
     }
 
     /// Schedules a client's next request, unless it doesn't need a connection any more.
-    pub(crate) fn schedule_reconnect(&mut self, client: usize, gap: Gap) {
+    pub(crate) fn schedule_reconnect(&mut self, client: usize, reason: ReconnectReason) {
         let now = self.now();
-        if let Some(at) = self.clients[client].again(now, gap, &self.client_behaviour, &mut self.rng) {
+        if let Some(at) =
+            self.clients[client].next_attempt_at(now, reason, &self.reconnect_policy, &mut self.rng)
+        {
             self.queue.schedule_at(at, Event::ClientConnects(client));
         }
     }
@@ -713,10 +719,10 @@
         let ClientRequest { client, balancer, incarnation, .. } = self.requests[index];
         if !self.is_running(balancer, incarnation) {
             self.requests[index].state = RequestState::Finished;
-            return self.schedule_reconnect(client, Gap::Nobody);
+            return self.schedule_reconnect(client, ReconnectReason::Unreachable);
         }
         self.queue.schedule_after(
-            self.client_behaviour.deadline_ms + ANSWER_TOLERANCE_MS,
+            self.reconnect_policy.attempt_timeout_ms + ANSWER_TOLERANCE_MS,
             Event::AnswerDeadline(index),
         );
         self.metrics.requests += 1.0;
@@ -733,7 +739,7 @@
             });
             self.requests[request].state = RequestState::Finished;
             let client = self.requests[request].client;
-            self.schedule_reconnect(client, Gap::CutOff);
+            self.schedule_reconnect(client, ReconnectReason::Disconnected);
         }
     }
 
@@ -754,7 +760,7 @@
         self.clients[client].load = 0.7 * self.clients[client].load + 0.3 * class_load * factor;
         let (now, load) = (self.now(), self.clients[client].load);
         if let Some(current) = &self.requests[request].current_attempt {
-            self.servers[current.server].change(now, request as u64, load);
+            self.servers[current.server].set_connection_load(now, request as u64, load);
         }
         self.report_connection_load(request);
         self.schedule_load_change(request);
@@ -810,7 +816,7 @@
         if self.requests[request].state == RequestState::Established {
             self.end_attempt(request, Outcome::Reset, true);
             let client = self.requests[request].client;
-            self.schedule_reconnect(client, Gap::CutOff);
+            self.schedule_reconnect(client, ReconnectReason::Disconnected);
         } else {
             let attempt = self.requests[request].current_attempt.as_ref().map_or(0, |a| a.attempt);
             self.attempt_failed(request, attempt, Outcome::Reset);
@@ -822,7 +828,7 @@
         let now = self.now();
         let Some(ended) = self.requests[request].current_attempt.take() else { return };
         if ended.held {
-            self.servers[ended.server].release(now, request as u64);
+            self.servers[ended.server].remove_connection(now, request as u64);
         }
         if closed {
             self.requests[request].state = RequestState::Finished;
@@ -859,10 +865,10 @@
     }
 
     /// Closes a client's connection from the client's side and has it reconnect.
-    pub(crate) fn disconnect_client(&mut self, request: usize, gap: Gap) {
+    pub(crate) fn disconnect_client(&mut self, request: usize, reason: ReconnectReason) {
         let client = self.requests[request].client;
         self.end_attempt(request, Outcome::Ok, true);
-        self.schedule_reconnect(client, gap);
+        self.schedule_reconnect(client, reason);
     }
 
     // ---- Balancers ------------------------------------------------------------------------------
@@ -898,11 +904,11 @@
             }
             Action::Reject { request, retry_after_ms } => {
                 self.metrics.count_rejected(now);
-                self.answer_request(request.0 as usize, Gap::Refused(retry_after_ms));
+                self.answer_request(request.0 as usize, ReconnectReason::Rejected(retry_after_ms));
             }
             Action::Fail(request) => {
                 if self.requests[request.0 as usize].state != RequestState::Finished {
-                    self.answer_request(request.0 as usize, Gap::CutOff);
+                    self.answer_request(request.0 as usize, ReconnectReason::Disconnected);
                 }
             }
             Action::Move(request) => self.move_client(request.0 as usize),
@@ -949,7 +955,7 @@
     }
 
     /// Gives a client the final answer that its request was rejected or has failed.
-    fn answer_request(&mut self, request: usize, gap: Gap) {
+    fn answer_request(&mut self, request: usize, reason: ReconnectReason) {
         let now = self.now();
         if self.requests[request].state != RequestState::Waiting {
             self.metrics.record_violation(now, || format!("request {request} was answered twice"));
@@ -958,7 +964,7 @@
         self.requests[request].state = RequestState::Finished;
         let ClientRequest { client, balancer, .. } = self.requests[request];
         self.balancers[balancer].requests.retain(|r| *r != request);
-        self.schedule_reconnect(client, gap);
+        self.schedule_reconnect(client, reason);
     }
 
     /// Closes an established connection and has its client reconnect to be placed elsewhere.
@@ -970,6 +976,6 @@
         self.metrics.count_move(now);
         let client = self.requests[request].client;
         self.end_attempt(request, Outcome::Cancelled, true);
-        self.schedule_reconnect(client, Gap::Moved);
+        self.schedule_reconnect(client, ReconnectReason::Moved);
     }
 }
--- a/fleet/src/simulation/network.rs
+++ b/fleet/src/simulation/network.rs
@@ -6,7 +6,8 @@
     /// Returns the one-way latency between a balancer and a server, in milliseconds; `None` if they can't
     /// reach each other.
     pub(crate) fn one_way_latency(&self, balancer: usize, server: usize) -> Option<Millis> {
-        let (a, b) = (usize::from(self.balancers[balancer].settings.zone.0), self.servers[server].form.zone);
+        let (a, b) =
+            (usize::from(self.balancers[balancer].settings.zone.0), self.servers[server].config.zone);
         match a == b {
             _ if self.unresponsive[server] => None,
             true => Some(SAME_ZONE_LATENCY_MS),
@@ -43,7 +44,7 @@
         }
         self.requests[request].current_attempt = Some(CurrentAttempt { attempt, server, held: false });
         let zone = usize::from(self.balancers[balancer].settings.zone.0);
-        self.metrics.cross_zone += f64::from(u8::from(zone != self.servers[server].form.zone));
+        self.metrics.cross_zone += f64::from(u8::from(zone != self.servers[server].config.zone));
         let connect_ms = self.balancers[balancer].settings.limits.connect_timeout_ms.min(timeout_ms);
         let (latency, down) =
             (self.one_way_latency(balancer, server), self.servers[server].phase == Phase::Down);
@@ -83,10 +84,10 @@
         let Some(latency) = self.one_way_latency(balancer, server) else { return };
         let Client { class, load, group, .. } = self.clients[client];
         self.record_slow_start_arrival(server);
-        let work = self.classes[class].set_up_ms + HANDSHAKE_WORK_MS;
-        let outcome = match self.servers[server].ask(now, work, &mut self.rng) {
+        let work = self.classes[class].setup_work_ms + HANDSHAKE_WORK_MS;
+        let outcome = match self.servers[server].open(now, work, &mut self.rng) {
             Answer::Up(after) => {
-                self.servers[server].hold(now, request as u64, class, load, group);
+                self.servers[server].add_connection(now, request as u64, class, load, group);
                 self.requests[request].current_attempt = Some(CurrentAttempt { attempt, server, held: true });
                 return self.queue.schedule_after(after + latency, Event::Established { request, attempt });
             }
@@ -145,7 +146,7 @@
                 );
             }
             _ => {
-                self.servers[server].work(now, PROBE_WORK_MS + HANDSHAKE_WORK_MS);
+                self.servers[server].add_work(now, PROBE_WORK_MS + HANDSHAKE_WORK_MS);
                 let as_of = now - self.report_delay_ms;
                 let reports = &self.past_reports[server];
                 let report = reports.iter().rev().find(|(at, _)| *at <= as_of).or_else(|| reports.first());
