--- a/fleet/src/faults.rs
+++ b/fleet/src/faults.rs
@@ -269,12 +269,12 @@
     pub(crate) fn record_slow_start_arrival(&mut self, server: usize) {
         let now = self.now();
         let rules = self.balancers[0].settings.rules.clone();
-        let form = &self.servers[server].config;
+        let config = &self.servers[server].config;
         let age = now - self.servers[server].started_at();
-        if age >= form.warm_up_ms || self.servers[server].started_at() <= 0.0 {
+        if age >= config.warm_up_ms || self.servers[server].started_at() <= 0.0 {
             return;
         }
-        let full_connections = form.cores * self.shape.connections_per_core;
+        let full_connections = config.cores * self.shape.connections_per_core;
         let rate = full_connections / rules.warm_up_ms * self.servers[server].warm_up_ratio(now);
         let allowed = rules.collapse_load_ratio * rate * rules.collapse_after_ms;
         let limit = allowed
--- a/fleet/src/setup.rs
+++ b/fleet/src/setup.rs
@@ -51,7 +51,7 @@
         load: class.load / mean / connections_per_core,
         setup_work_ms: 8.0,
         message_goal_ms: class.message_goal_ms,
-        goal_to_usual_ratio: class.headroom_ratio,
+        goal_to_usual_ratio: class.goal_to_usual_ratio,
     };
     let tenants = deployment.tenant_count();
     deployment.classes.iter().flat_map(|class| (0..tenants).map(move |tenant| of(class, tenant))).collect()
@@ -80,7 +80,7 @@
             let ServerSize { cores, speed, .. } = deployment.server_sizes[draw_index(&sizes, rng)];
             // Each zone has at least one server, however small its share.
             let zone = if index < zones { index } else { draw_index(&by_zone, rng) };
-            let form = ServerConfig {
+            let config = ServerConfig {
                 zone,
                 weight: cores * speed,
                 cores: cores * speed * speed_distribution.sample(rng),
@@ -91,12 +91,12 @@
                 warm_up_ms: deployment.warm_up_ms,
                 group_load: deployment.groups.map_or(0.0, |g| g.cost / shape.connections_per_core),
             };
-            Server::new(form, classes, -1e9, 0.0)
+            Server::new(config, classes, -1e9, 0.0)
         })
         .collect()
 }
 
-pub fn client_behaviour(rng: &mut SmallRng) -> ReconnectPolicy {
+pub fn reconnect_policy(rng: &mut SmallRng) -> ReconnectPolicy {
     ReconnectPolicy {
         honors_retry_after_ratio: 0.4 * rng.random::<f64>(),
         reconnect_delay_ms: (170.0, 1_700.0),
@@ -106,8 +106,8 @@
     }
 }
 
-/// Creates discovery. A call takes time in proportion to the number of servers in the list, up to four times
-/// the time for 90 of them.
+/// Creates discovery. A call transfers one line for each server, and each of its slots serves a few tens of calls
+/// a second with a list of 90 servers. The time grows with the list, up to four times that.
 pub fn discovery(shape: &Shape, rng: &mut SmallRng) -> DiscoveryService {
     let transfer_ms = 20.0 * rng.random_range(0.5..1.5) * (shape.servers as f64 / 90.0).min(4.0);
     DiscoveryService::new(DiscoveryLimits { concurrency: 4, call_ms: transfer_ms, queue_timeout_ms: 2_000.0 })
--- a/fleet/src/simulation.rs
+++ b/fleet/src/simulation.rs
@@ -236,7 +236,7 @@
     pub collapsed: Vec<bool>,
     past_reports: Vec<Vec<(Millis, [f32; 2])>>,
     seed: u64,
-    client_behaviour: ReconnectPolicy,
+    reconnect_policy: ReconnectPolicy,
     clients: Vec<Client>,
     requests: Vec<ClientRequest>,
     /// Number of connections that clients want, by class.
@@ -278,8 +278,8 @@
         let tenants = deployment.tenant_count();
         let ground_truth_delay_ms =
             if let Strategy::Oracle { delay_ms } = strategy { *delay_ms } else { 0.0 };
-        let (client_behaviour, discovery) =
-            (setup::client_behaviour(&mut rng), setup::discovery(shape, &mut rng));
+        let (reconnect_policy, discovery) =
+            (setup::reconnect_policy(&mut rng), setup::discovery(shape, &mut rng));
         let mut simulation = Self {
             queue: EventQueue::new(),
             shape: shape.clone(),
@@ -306,7 +306,7 @@
             collapsed: vec![false; server_count],
             past_reports: vec![Vec::new(); server_count],
             seed,
-            client_behaviour,
+            reconnect_policy,
             clients: Vec::new(),
             requests: Vec::new(),
             wanted_connections: vec![0.0; classes.len()],
@@ -465,7 +465,7 @@
             tenant: marllink::TenantId((class % tenants) as u16),
             // Scrambled, so that the id doesn't reveal the rank of the group by size.
             group: group.wrapping_mul(0x9e37_79b9_7f4a_7c15),
-            time_left_ms: self.client_behaviour.attempt_timeout_ms - CLIENT_LATENCY_MS,
+            time_left_ms: self.reconnect_policy.attempt_timeout_ms - CLIENT_LATENCY_MS,
             ..NewRequest::default()
         }
     }
@@ -609,7 +609,7 @@
             server: ServerId(index as u64),
             zone: server.config.zone,
             capacity: server.capacity(now),
-            load_ratio: server.utilization(now),
+            utilization: server.utilization(now),
             healthy: server.phase == Phase::Up && server.failure_ratio == 0.0,
         };
         let snapshots = self.servers.iter().enumerate().map(snapshot).collect();
@@ -664,19 +664,15 @@
     fn send_delay_notices(&mut self) {
         let now = self.now();
         let strictest = self.classes.iter().min_by(|a, b| a.message_goal_ms.total_cmp(&b.message_goal_ms));
-        let Some(Class { message_goal_ms: message_aim_ms, goal_to_usual_ratio: ease, .. }) =
-            strictest.cloned()
-        else {
-            return;
-        };
+        let Some(Class { message_goal_ms, goal_to_usual_ratio, .. }) = strictest.cloned() else { return };
         for server in 0..self.servers.len() {
             // Each server sends in one of ten phases, so that the notices are spread over the interval.
             if (now / (DELAY_NOTICE_INTERVAL_MS / 10.0)).round() as usize % 10 != server % 10 {
                 continue;
             }
             self.servers[server].advance(now);
-            let delay_ms = self.servers[server].message_delay_ms(now, message_aim_ms, ease);
-            let slow = self.servers[server].phase != Phase::Down && delay_ms > message_aim_ms / 3.0;
+            let delay_ms = self.servers[server].message_delay_ms(now, message_goal_ms, goal_to_usual_ratio);
+            let slow = self.servers[server].phase != Phase::Down && delay_ms > message_goal_ms / 3.0;
             if !std::mem::replace(&mut self.slow_notified[server], slow) && !slow {
                 continue;
             }
@@ -710,10 +706,10 @@
     }
 
     /// Schedules a client's next request, unless it doesn't need a connection any more.
-    pub(crate) fn schedule_reconnect(&mut self, client: usize, gap: ReconnectReason) {
+    pub(crate) fn schedule_reconnect(&mut self, client: usize, reason: ReconnectReason) {
         let now = self.now();
         if let Some(at) =
-            self.clients[client].next_attempt_at(now, gap, &self.client_behaviour, &mut self.rng)
+            self.clients[client].next_attempt_at(now, reason, &self.reconnect_policy, &mut self.rng)
         {
             self.queue.schedule_at(at, Event::ClientConnects(client));
         }
@@ -726,7 +722,7 @@
             return self.schedule_reconnect(client, ReconnectReason::Unreachable);
         }
         self.queue.schedule_after(
-            self.client_behaviour.attempt_timeout_ms + ANSWER_TOLERANCE_MS,
+            self.reconnect_policy.attempt_timeout_ms + ANSWER_TOLERANCE_MS,
             Event::AnswerDeadline(index),
         );
         self.metrics.requests += 1.0;
@@ -869,10 +865,10 @@
     }
 
     /// Closes a client's connection from the client's side and has it reconnect.
-    pub(crate) fn disconnect_client(&mut self, request: usize, gap: ReconnectReason) {
+    pub(crate) fn disconnect_client(&mut self, request: usize, reason: ReconnectReason) {
         let client = self.requests[request].client;
         self.end_attempt(request, Outcome::Ok, true);
-        self.schedule_reconnect(client, gap);
+        self.schedule_reconnect(client, reason);
     }
 
     // ---- Balancers ------------------------------------------------------------------------------
@@ -959,7 +955,7 @@
     }
 
     /// Gives a client the final answer that its request was rejected or has failed.
-    fn answer_request(&mut self, request: usize, gap: ReconnectReason) {
+    fn answer_request(&mut self, request: usize, reason: ReconnectReason) {
         let now = self.now();
         if self.requests[request].state != RequestState::Waiting {
             self.metrics.record_violation(now, || format!("request {request} was answered twice"));
@@ -968,7 +964,7 @@
         self.requests[request].state = RequestState::Finished;
         let ClientRequest { client, balancer, .. } = self.requests[request];
         self.balancers[balancer].requests.retain(|r| *r != request);
-        self.schedule_reconnect(client, gap);
+        self.schedule_reconnect(client, reason);
     }
 
     /// Closes an established connection and has its client reconnect to be placed elsewhere.
