--- a/node/src/cli.rs
+++ b/node/src/cli.rs
@@ -149,7 +149,7 @@
 
 /// Lists the parts that a balancer's configuration enables. The whole file is validated as at the start.
 fn check_configuration(name: &str, text: &[u8], json: bool) -> Result<String, String> {
-    let variable = |name: &str| (name == "NODE_CONFIG").then(|| name.to_owned());
+    let variable = |key: &str| (key == "NODE_CONFIG").then(|| name.to_owned());
     let config = crate::operations::config::load(variable, |_| Ok(text.to_vec()))?;
     let parts = marllink_settings::features(&config.settings);
     if json {
--- a/node/src/io/slots.rs
+++ b/node/src/io/slots.rs
@@ -117,14 +117,15 @@
         for _ in 0..3 {
             held.push(Some(slots.acquire().await));
         }
-        let at = |held: &[Option<Slot>], at: usize| held[at].as_ref().expect("held").evicted();
-        held[0].as_ref().expect("held").touch();
-        held[2].as_ref().expect("held").mark_answered();
-        for first in [2, 1, 0] {
-            let evicted = at(&held, first);
+        let eviction =
+            |held: &[Option<Slot>], index: usize| held[index].as_ref().expect("the slot is held").evicted();
+        held[0].as_ref().expect("the slot is held").touch();
+        held[2].as_ref().expect("the slot is held").mark_answered();
+        for index in [2, 1, 0] {
+            let evicted = eviction(&held, index);
             let (new_slot, ()) = tokio::join!(slots.acquire(), async {
                 evicted.await;
-                held[first] = None;
+                held[index] = None;
             });
             new_slot.touch();
             held.push(Some(new_slot));
--- a/node/src/membership/discovery.rs
+++ b/node/src/membership/discovery.rs
@@ -31,7 +31,7 @@
 const PUSH_WATCH_RETRY_MS: Millis = 200.0;
 /// In push mode, the maximum time to wait for the agent's answer: no other balancers wait for their turn
 /// there.
-const PUSH_AGENT_ANSWER_MS: Millis = 2_500.0;
+const PUSH_AGENT_TIMEOUT_MS: Millis = 2_500.0;
 /// Maximum size of a response body, well above that of any list. A longer body is rejected.
 const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
@@ -222,14 +222,14 @@
     async fn call(&self, path: &str) -> Result<Body, String> {
         let address = self.address.get();
         let stream = connect(&self.clock, address, CONNECT_TIMEOUT_MS).await.map_err(|e| e.to_string())?;
-        let answer_timeout_ms = match (self.push_mode, self.busy.replace(true)) {
-            (true, _) => PUSH_AGENT_ANSWER_MS,
+        let response_timeout_ms = match (self.push_mode, self.busy.replace(true)) {
+            (true, _) => PUSH_AGENT_TIMEOUT_MS,
             (false, false) => RESPONSE_TIMEOUT_MS,
             (false, true) => OVERLOADED_RESPONSE_TIMEOUT_MS,
         };
         let body = self
             .clock
-            .within(answer_timeout_ms, send_request(stream, address, path))
+            .within(response_timeout_ms, send_request(stream, address, path))
             .await
             .ok_or("no response in time")??;
         self.busy.set(false);
--- a/node/src/operations/state.rs
+++ b/node/src/operations/state.rs
@@ -122,10 +122,10 @@
         folder: &Path,
         seed: u64,
     ) -> std::io::Result<Rc<Self>> {
-        let shown = folder.display().to_string();
+        let display_path = folder.display().to_string();
         let writer = Writer::open(folder.into(), move |result| match result {
-            Ok(()) => tracing::info!("the store {shown}: writing works again"),
-            Err(error) => tracing::warn!("the store {shown}: {error}; continuing without it"),
+            Ok(()) => tracing::info!("the store {display_path}: writing works again"),
+            Err(error) => tracing::warn!("the store {display_path}: {error}; continuing without it"),
         })?;
         let trusted_ms = f64::from(store.trusted_s) * 1_000.0;
         let limits = Limits {
--- a/node/src/protocol/line.rs
+++ b/node/src/protocol/line.rs
@@ -12,7 +12,7 @@
 /// Maximum length of a line in bytes, including the line end.
 pub const MAX_LINE_BYTES: usize = 4 * 1024;
 
-/// No token is shorter, and no number is as long.
+/// Minimum length of a token. A shorter value of `s` is a number, which is never this long.
 const MIN_TOKEN_BYTES: usize = 60;
 
 type Text<'a> = LocatingSlice<&'a [u8]>;
