--- a/node/src/operations/handover.rs
+++ b/node/src/operations/handover.rs
@@ -84,7 +84,7 @@
 async fn receive(link: UnixStream) -> io::Result<Inherited> {
     let mut link = Link { stream: Rc::new(link), buffer: Vec::new(), sockets: VecDeque::new() };
     send(&link.stream, &syntax::encode(&Hello { version: VERSION }), &[]).await?;
-    let line = link.line().await?;
+    let line = link.next_line().await?;
     let snapshot = syntax::decode_snapshot(&line).map_err(|reason| {
         tracing::debug!("handover snapshot as received: {}", String::from_utf8_lossy(&line));
         io::Error::other(reason)
@@ -105,7 +105,7 @@
 
 impl Link {
     /// Returns the next line. Cancel safe: no data is lost if the future is dropped.
-    async fn line(&mut self) -> io::Result<Vec<u8>> {
+    async fn next_line(&mut self) -> io::Result<Vec<u8>> {
         let mut scanned = 0;
         loop {
             if let Some(end) = self.buffer[scanned..].iter().position(|b| *b == b'\n') {
@@ -145,7 +145,7 @@
     /// Receives messages until the link ends and calls `on_message` for each, with access to the received
     /// sockets.
     async fn receive_all(&mut self, on_message: impl Fn(Message, &mut Self)) {
-        while let Ok(line) = self.line().await {
+        while let Ok(line) = self.next_line().await {
             match syntax::decode(&line) {
                 Some(message) => on_message(message, self),
                 None => return,
@@ -364,7 +364,7 @@
         let mut link = Link { stream: Rc::new(link), buffer: Vec::new(), sockets: VecDeque::new() };
         let writer = link.stream.clone();
         let negotiation = async {
-            let hello = link.line().await.ok()?;
+            let hello = link.next_line().await.ok()?;
             if syntax::decode::<Hello>(&hello)?.version != VERSION {
                 return None;
             }
@@ -372,7 +372,8 @@
             // Later changes are sent over the link.
             self.links.borrow_mut().push(outgoing.clone());
             send(&writer, &snapshot, &[clients.as_fd(), successors.as_fd()]).await.ok()?;
-            matches!(syntax::decode(&link.line().await.ok()?), Some(Message::AcceptingClients)).then_some(())
+            matches!(syntax::decode(&link.next_line().await.ok()?), Some(Message::AcceptingClients))
+                .then_some(())
         };
         let Some(Some(())) = self.clock.within(ACCEPT_TIMEOUT_MS, negotiation).await else {
             tracing::warn!("a successor requested a handover and did not complete it");
--- a/node/src/operations/state.rs
+++ b/node/src/operations/state.rs
@@ -170,7 +170,7 @@
         }
         commands.retain(|c| !matches!(c, Command::Admit(_)));
         discovery.start_withholding(&list, &|t| t.is_serving() && !admitted.contains(&t.server()));
-        self.carry_out(commands);
+        self.execute(commands);
     }
 
     /// Runs the recovery's timers and refreshes the stored list, forever.
@@ -227,10 +227,10 @@
     fn step(&self, event: Event<ServerId>) {
         let mut commands = Vec::new();
         self.recovery.borrow_mut().handle(self.dependencies.clock.now(), event, &mut commands);
-        self.carry_out(commands);
+        self.execute(commands);
     }
 
-    fn carry_out(&self, commands: Vec<Command<ServerId>>) {
+    fn execute(&self, commands: Vec<Command<ServerId>>) {
         let admitted =
             |c: &Command<ServerId>| if let Command::Admit(server) = c { Some(*server) } else { None };
         let admitted: Vec<_> = commands.iter().filter_map(admitted).collect();
--- a/node/src/protocol/line.rs
+++ b/node/src/protocol/line.rs
@@ -118,7 +118,7 @@
 /// Parses a line from a server, including the line end.
 pub fn parse_server_line(line: &[u8]) -> ServerLine {
     let mut line_parser = alt((
-        delimited(literal("UP "), take_till(1.., is_end), line_end).value(ServerLine::Up),
+        delimited(literal("UP "), take_till(1.., is_line_end), line_end).value(ServerLine::Up),
         delimited(literal("BYE"), optional_report, line_end).map(ServerLine::Bye),
         delimited(literal("ERR"), optional_report, line_end).map(ServerLine::Err),
         delimited(literal("BUSY"), optional_report, line_end).map(ServerLine::Busy),
@@ -145,7 +145,7 @@
         .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3))
 }
 
-fn is_end(byte: u8) -> bool {
+fn is_line_end(byte: u8) -> bool {
     byte == b'\r' || byte == b'\n'
 }
 
@@ -154,7 +154,7 @@
 }
 
 fn optional_report(input: &mut Text<'_>) -> ModalResult<Report> {
-    let text = opt(preceded(b' ', take_till(0.., is_end))).parse_next(input)?;
+    let text = opt(preceded(b' ', take_till(0.., is_line_end))).parse_next(input)?;
     // Text that is not a report carries no load values; the line itself is still valid.
     Ok(text.and_then(report::parse).unwrap_or_default())
 }
@@ -180,14 +180,14 @@
     preceded(b' ', hex).void().parse_next(input)?;
     let pairs: Vec<_> = preceded(b' ', separated(1.., pair, b',')).parse_next(input)?;
     literal("\r\n").void().parse_next(input)?;
-    fields(id, &pairs).ok_or(ErrMode::Cut(ContextError::new()))
+    parse_fields(id, &pairs).ok_or(ErrMode::Cut(ContextError::new()))
 }
 
-fn fields(id: u64, pairs: &[(&str, (&str, Range<usize>))]) -> Option<OpenRequest> {
+fn parse_fields(id: u64, pairs: &[(&str, (&str, Range<usize>))]) -> Option<OpenRequest> {
     let mut request = OpenRequest { id, ..OpenRequest::default() };
     let (mut class, mut wait) = (None, None);
     for (at, (name, (text, span))) in pairs.iter().enumerate() {
-        if pairs[..at].iter().any(|(before, _)| before == name) {
+        if pairs[..at].iter().any(|(previous, _)| previous == name) {
             return None;
         }
         match *name {
