--- a/fleet/src/deployment.rs
+++ b/fleet/src/deployment.rs
@@ -61,12 +61,12 @@
 
 impl Default for Deployment {
     fn default() -> Self {
-        let class = |share, value, load, message_goal_ms, headroom_ratio| ConnectionClass {
+        let class = |share, value, load, message_goal_ms, goal_to_usual_ratio| ConnectionClass {
             share,
             value,
             load,
             message_goal_ms,
-            headroom_ratio,
+            goal_to_usual_ratio,
         };
         let size = |share, cores, speed| ServerSize { share, cores, speed };
         Self {
@@ -106,7 +106,7 @@
     pub message_goal_ms: f64,
     /// The latency goal of a message as a ratio to its latency on an idle server.
     #[serde(rename = "ease")]
-    pub headroom_ratio: f64,
+    pub goal_to_usual_ratio: f64,
 }
 
 /// A server size.
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -7,7 +7,7 @@
 //! overloaded servers in slow start, and moves. Runs are reproducible: the same seed gives identical results,
 //! whatever else runs on the machine. Nothing in this crate reads a clock.
 //!
-//! Servers, clients and discovery are those of `marllink_emulator::model::crowd`. The balancers are
+//! Servers, clients and discovery are those of `marllink_emulator::model::fluid`. The balancers are
 //! [`marllink::Balancer`], each with its own state, seed and clock. Metrics are taken from servers and
 //! clients only, never from a balancer.
 
