--- a/node/src/exchange/session_driver.rs
+++ b/node/src/exchange/session_driver.rs
@@ -137,7 +137,7 @@
     fn execute(&self, command: Command) {
         let Some(exchange) = self.exchange.borrow().upgrade() else { return };
         match command {
-            Command::OpenLink(server) => self.link(server),
+            Command::OpenLink(server) => self.open_link(server),
             Command::CloseLink(server) => {
                 if let Some(link) = self.links.borrow_mut().remove(&server) {
                     link.task.abort();
@@ -187,7 +187,7 @@
         }
     }
 
-    fn link(&self, server: ServerId) {
+    fn open_link(&self, server: ServerId) {
         let address = self.directory.address(server);
         let reserved =
             address.and_then(|address| Some((address, self.descriptors.acquire(Purpose::Served)?)));
