--- a/fleet/src/setup.rs
+++ b/fleet/src/setup.rs
@@ -106,8 +106,8 @@
     }
 }
 
-/// Creates discovery. A call transfers one line for each server, and each of its slots serves a few tens of calls
-/// a second with a list of 90 servers. The time grows with the list, up to four times that.
+/// Creates discovery. A call transfers one line for each server, and each of its slots serves a few tens of
+/// calls a second with a list of 90 servers. The time grows with the list, up to four times that.
 pub fn discovery(shape: &Shape, rng: &mut SmallRng) -> DiscoveryService {
     let transfer_ms = 20.0 * rng.random_range(0.5..1.5) * (shape.servers as f64 / 90.0).min(4.0);
     DiscoveryService::new(DiscoveryLimits { concurrency: 4, call_ms: transfer_ms, queue_timeout_ms: 2_000.0 })
