--- a/examples/toy.py
+++ b/examples/toy.py
@@ -1,8 +1,8 @@
 #!/usr/bin/env python3
-"""Two toy form hosts and a toy discovery, to try the balancer with. Not for measuring anything.
+"""Two minimal servers and a minimal discovery service, to try out the balancer. Not suitable for measurements.
 
-Each form host takes every connection, echoes lines, and ends with BYE when the client does. Type
-"drain" or "serve" and a host's name, as in "drain s-1", to change the list.
+Each server accepts every connection, echoes its lines, and sends BYE when the client closes its side.
+To change the state of a server in the list, type "drain" or "serve" and its name, as in "drain s-1".
 """
 
 import json
--- a/lab/src/balancers.rs
+++ b/lab/src/balancers.rs
@@ -1,4 +1,4 @@
-//! The balancers under test: real processes, killed, stopped and upgraded as the experiment says.
+//! The balancers under test: real processes that can be killed, suspended, restarted and upgraded.
 
 use marllink_emulator::sockets::{EntryLog, sleep};
 use rustix::process::{Pid, Signal, kill_process};
@@ -10,96 +10,123 @@
 use std::process::{Child, Command, Stdio};
 use std::rc::Rc;
 
-/// A balancer that does not serve by then has failed, in milliseconds.
-const START_MS: f64 = 10_000.0;
+/// Maximum time until a started balancer listens, in milliseconds.
+const START_TIMEOUT_MS: f64 = 10_000.0;
 
-/// Secrets of this experiment's own keys: drawn once, and worth nothing elsewhere.
-const SECRETS: [&str; 2] = [
+/// Secrets of the session keys. They are used in experiments only and protect nothing.
+const KEY_SECRETS: [&str; 2] = [
     "5f0c1b7a99d24e3388a1c6f2740be9d35f0c1b7a99d24e3388a1c6f2740be9d3",
     "a3d8e61f0b9247cc95e27d1840f6b3aaa3d8e61f0b9247cc95e27d1840f6b3aa",
 ];
 
-/// All balancers of an experiment.
+/// The balancers of an experiment.
 pub struct Balancers {
-    ledger: Rc<EntryLog>,
-    program: PathBuf,
+    clock: Rc<EntryLog>,
+    daemon_program: PathBuf,
     folder: PathBuf,
-    each: Vec<Balancer>,
-    /// When which was cut off, from and to.
-    cuts: RefCell<Vec<(usize, f64, f64)>>,
-    /// Variables that each is started with besides its own.
+    balancers: Vec<Balancer>,
+    /// Times at which balancers were killed or suspended: balancer, start and end.
+    interruptions: RefCell<Vec<(usize, f64, f64)>>,
+    /// Additional environment variables of all balancers.
     environment: Vec<(String, String)>,
 }
 
 struct Balancer {
-    listen: SocketAddr,
+    listen_address: SocketAddr,
     child: RefCell<Option<Child>>,
-    starts: Cell<u32>,
+    start_count: Cell<u32>,
 }
 
-/// What a balancer is told at its start.
-pub struct Told {
-    /// Discovery's address.
-    pub discovery: SocketAddr,
-    /// The list of form hosts as known.
-    pub known: String,
+/// What a balancer knows about discovery when it starts.
+pub struct DiscoveryInfo {
+    /// Address of discovery.
+    pub address: SocketAddr,
+    /// Server list that is written into the balancer's configuration.
+    pub known_list: String,
 }
 
 impl Balancers {
-    /// Balancers with their folders, not started yet. `program` is run with `daemon` as its argument.
+    /// Creates the folders of the balancers and selects their addresses, without starting them.
+    /// `daemon_program` is run with the argument `daemon`.
     ///
     /// # Errors
-    /// Fails if a folder can't be made or no address is free.
-    pub fn new(ledger: Rc<EntryLog>, program: PathBuf, folder: PathBuf, count: usize) -> io::Result<Self> {
-        let mut each = Vec::<Balancer>::new();
-        while each.len() < count {
-            // An address that is free may be one that another balancer is about to have, and both could listen there.
-            let listen = free()?;
-            if each.iter().all(|other| other.listen != listen) {
-                std::fs::create_dir_all(folder.join(format!("b{}", each.len())))?;
-                each.push(Balancer { listen, child: RefCell::default(), starts: Cell::default() });
+    /// Fails if a folder can't be created or no address is free.
+    pub fn new(
+        clock: Rc<EntryLog>,
+        daemon_program: PathBuf,
+        folder: PathBuf,
+        count: usize,
+    ) -> io::Result<Self> {
+        let mut balancers = Vec::<Balancer>::new();
+        while balancers.len() < count {
+            // A free port may already be assigned to another balancer that hasn't started yet, and both could listen
+            // on it.
+            let listen_address = free_address()?;
+            if balancers.iter().all(|other| other.listen_address != listen_address) {
+                std::fs::create_dir_all(folder.join(format!("b{}", balancers.len())))?;
+                balancers.push(Balancer {
+                    listen_address,
+                    child: RefCell::default(),
+                    start_count: Cell::default(),
+                });
             }
         }
-        Ok(Self { ledger, program, folder, each, cuts: RefCell::default(), environment: Vec::new() })
+        Ok(Self {
+            clock,
+            daemon_program,
+            folder,
+            balancers,
+            interruptions: RefCell::default(),
+            environment: Vec::new(),
+        })
     }
 
-    /// The same, started with these variables as well.
+    /// Sets additional environment variables for all balancers.
     #[must_use]
     pub fn with_environment(mut self, environment: Vec<(String, String)>) -> Self {
         self.environment = environment;
         self
     }
 
-    /// Where clients connect.
+    /// Returns the addresses that the balancers listen on.
     #[must_use]
     pub fn addresses(&self) -> Vec<SocketAddr> {
-        self.each.iter().map(|b| b.listen).collect()
+        self.balancers.iter().map(|balancer| balancer.listen_address).collect()
     }
 
-    /// True if a fault excuses that something asked and ended at these times had no answer.
+    /// Returns true if the balancer was killed or suspended at any time of this interval, which excuses a
+    /// missing answer.
     #[must_use]
-    pub fn was_cut(&self, balancer: usize, from: f64, to: f64) -> bool {
-        self.cuts.borrow().iter().any(|(b, f, t)| *b == balancer && *f <= to && *t >= from)
+    pub fn was_interrupted(&self, balancer: usize, from: f64, to: f64) -> bool {
+        self.interruptions
+            .borrow()
+            .iter()
+            .any(|(b, start, end)| *b == balancer && *start <= to && *end >= from)
     }
 
-    /// The folder of one.
-    pub fn folder_of(&self, n: usize) -> PathBuf {
-        self.folder.join(format!("b{n}"))
+    /// Returns the folder of a balancer.
+    pub fn balancer_folder(&self, balancer: usize) -> PathBuf {
+        self.folder.join(format!("b{balancer}"))
     }
 
-    /// Writes what each balancer reads at its start.
+    /// Writes the configuration and the keys of all balancers.
     ///
     /// # Errors
     /// Fails if a file can't be written.
-    pub fn configure(&self, told: &[Told], sessions: &serde_json::Value, zones: &[String]) -> io::Result<()> {
-        for (n, Told { discovery, known }) in told.iter().enumerate() {
+    pub fn configure(
+        &self,
+        discovery_infos: &[DiscoveryInfo],
+        sessions: &serde_json::Value,
+        zones: &[String],
+    ) -> io::Result<()> {
+        for (balancer, DiscoveryInfo { address, known_list }) in discovery_infos.iter().enumerate() {
             let config = serde_json::json!({
-                "name": format!("b{n}"), "listen": self.each[n].listen.to_string(),
-                "discovery": discovery.to_string(), "seed": format!("{:x}", n + 1),
+                "name": format!("b{balancer}"), "listen": self.balancers[balancer].listen_address.to_string(),
+                "discovery": address.to_string(), "seed": format!("{:x}", balancer + 1),
                 "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 20_000},
-                "known": serde_json::from_str::<serde_json::Value>(known)?,
+                "known": serde_json::from_str::<serde_json::Value>(known_list)?,
                 "settings": {
-                    "index": n, "balancers": self.each.len(), "zone": n % zones.len(), "azs": zones,
+                    "index": balancer, "balancers": self.balancers.len(), "zone": balancer % zones.len(), "azs": zones,
                     "discovery": "on_request",
                     "classes": [
                         {"name": "sheet-view", "goalTimeMs": 800.0, "deadlineMs": 4800.0, "semantics": "repeatable", "importance": 3.0},
@@ -113,54 +140,61 @@
                     "prices": {"crossZone": 0.16, "moves": 0.02, "probe": 0.002, "lateFail": 0.058}
                 }
             });
-            self.lay(n, &config, &serde_json::json!({"sessions": sessions}))?;
+            self.write_config(balancer, &config, &serde_json::json!({"sessions": sessions}))?;
         }
-        self.keys(&[0], |_| true)
+        self.write_keys(&[0], |_| true)
     }
 
-    /// Lays what a balancer reads at its start.
+    /// Writes a balancer's configuration and operators' configuration.
     ///
     /// # Errors
     /// Fails if a file can't be written.
-    pub fn lay(&self, n: usize, config: &serde_json::Value, operators: &serde_json::Value) -> io::Result<()> {
-        let folder = self.folder_of(n);
+    pub fn write_config(
+        &self,
+        balancer: usize,
+        config: &serde_json::Value,
+        operators: &serde_json::Value,
+    ) -> io::Result<()> {
+        let folder = self.balancer_folder(balancer);
         std::fs::write(folder.join("config.json"), config.to_string())?;
         std::fs::write(folder.join("operators.json"), operators.to_string())
     }
 
-    /// Lays a file with these keys, the last of which seals, at each balancer that `at` names.
+    /// Writes the key file of each balancer that `selects` returns true for, and has the balancer reload it. The
+    /// last key seals new tokens.
     ///
     /// # Errors
     /// Fails if a file can't be written.
-    pub fn keys(&self, keys: &[usize], at: impl Fn(usize) -> bool) -> io::Result<()> {
+    pub fn write_keys(&self, keys: &[usize], selects: impl Fn(usize) -> bool) -> io::Result<()> {
         let keys: Vec<_> = keys
             .iter()
             .enumerate()
-            .map(|(from, k)| serde_json::json!({"id": k + 1, "seals_from": from, "secret": SECRETS[*k]}))
+            .map(|(from, key)| serde_json::json!({"id": key + 1, "seals_from": from, "secret": KEY_SECRETS[*key]}))
             .collect();
-        for n in (0..self.each.len()).filter(|n| at(*n)) {
-            let file = self.folder_of(n).join("keys.json");
+        for balancer in (0..self.balancers.len()).filter(|balancer| selects(*balancer)) {
+            let file = self.balancer_folder(balancer).join("keys.json");
             std::fs::write(file, serde_json::json!({"keys": keys}).to_string())?;
-            self.signal(n, Signal::HUP);
+            self.signal(balancer, Signal::HUP);
         }
         Ok(())
     }
 
-    /// Starts one, and waits until it serves.
+    /// Starts a balancer and waits until it listens.
     ///
     /// # Errors
-    /// Fails if it does not; the log tells why.
-    pub async fn start(&self, n: usize) -> io::Result<()> {
-        let child = self.spawn(n).await?;
-        self.each[n].child.replace(Some(child));
+    /// Fails if the balancer doesn't listen in time; its log says why.
+    pub async fn start(&self, balancer: usize) -> io::Result<()> {
+        let child = self.spawn(balancer).await?;
+        self.balancers[balancer].child.replace(Some(child));
         Ok(())
     }
 
-    async fn spawn(&self, n: usize) -> io::Result<Child> {
-        let folder = self.folder_of(n);
-        let start = self.each[n].starts.replace(self.each[n].starts.get() + 1);
-        let log = folder.join(format!("log.{start}"));
-        let mut child = Command::new(&self.program)
+    async fn spawn(&self, balancer: usize) -> io::Result<Child> {
+        let folder = self.balancer_folder(balancer);
+        let start =
+            self.balancers[balancer].start_count.replace(self.balancers[balancer].start_count.get() + 1);
+        let log_path = folder.join(format!("log.{start}"));
+        let mut child = Command::new(&self.daemon_program)
             .arg("daemon")
             .env("NODE_CONFIG", folder.join("config.json"))
             .env("MARLLINK_OPERATORS", folder.join("operators.json"))
@@ -171,173 +205,183 @@
             .env_remove("NODE_ADMIN")
             .stdin(Stdio::null())
             .stdout(Stdio::null())
-            .stderr(File::create(&log)?)
+            .stderr(File::create(&log_path)?)
             .spawn()?;
-        let until = self.ledger.now() + START_MS;
-        while self.ledger.now() < until {
-            let text = std::fs::read_to_string(&log)?;
+        let deadline = self.clock.now() + START_TIMEOUT_MS;
+        while self.clock.now() < deadline {
+            let text = std::fs::read_to_string(&log_path)?;
             if text.contains("listening on") {
                 return Ok(child);
             }
             if child.try_wait()?.is_some() {
-                return Err(io::Error::other(format!("balancer {n} did not start: {text}")));
+                return Err(io::Error::other(format!("balancer {balancer} exited during its start: {text}")));
             }
             sleep(10.0).await;
         }
         let _ = child.kill();
-        Err(io::Error::other(format!("balancer {n} says nothing; see {}", log.display())))
+        Err(io::Error::other(format!(
+            "balancer {balancer} doesn't listen after {START_TIMEOUT_MS:.0} ms; see {}",
+            log_path.display()
+        )))
     }
 
-    fn pid(&self, n: usize) -> Option<Pid> {
-        self.each[n].child.borrow().as_ref().and_then(|child| Pid::from_raw(child.id() as i32))
+    fn pid(&self, balancer: usize) -> Option<Pid> {
+        self.balancers[balancer].child.borrow().as_ref().and_then(|child| Pid::from_raw(child.id() as i32))
     }
 
-    fn signal(&self, n: usize, signal: Signal) {
-        if let Some(pid) = self.pid(n) {
-            // One that has ended by itself is seen at the end.
+    fn signal(&self, balancer: usize, signal: Signal) {
+        if let Some(pid) = self.pid(balancer) {
+            // A balancer that has exited unexpectedly is reported at the end of the run.
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Kills one, and starts it again after so long.
+    /// Kills a balancer and restarts it after this time.
     ///
     /// # Errors
-    /// Fails if it does not start again.
-    pub async fn kill(&self, n: usize, for_ms: f64) -> io::Result<()> {
-        self.halt(n)?;
+    /// Fails if the balancer can't be killed or restarted.
+    pub async fn kill_for(&self, balancer: usize, for_ms: f64) -> io::Result<()> {
+        self.kill(balancer)?;
         sleep(for_ms).await;
-        self.back(n).await
+        self.restart(balancer).await
     }
 
-    /// Kills one, which stays away until [`Self::back`].
+    /// Kills a balancer. It stays down until [`Self::restart`].
     ///
     /// # Errors
-    /// Fails if it can't be killed.
-    pub fn halt(&self, n: usize) -> io::Result<()> {
-        let from = self.ledger.now();
-        if let Some(mut child) = self.each[n].child.take() {
+    /// Fails if the balancer can't be killed.
+    pub fn kill(&self, balancer: usize) -> io::Result<()> {
+        let from = self.clock.now();
+        if let Some(mut child) = self.balancers[balancer].child.take() {
             child.kill()?;
             child.wait()?;
         }
-        self.cuts.borrow_mut().push((n, from, f64::INFINITY));
+        self.interruptions.borrow_mut().push((balancer, from, f64::INFINITY));
         Ok(())
     }
 
-    /// Starts one again that was killed.
+    /// Restarts a killed balancer.
     ///
     /// # Errors
-    /// Fails if it does not start.
-    pub async fn back(&self, n: usize) -> io::Result<()> {
-        self.start(n).await?;
-        self.cut_ends(n);
+    /// Fails if the balancer doesn't start.
+    pub async fn restart(&self, balancer: usize) -> io::Result<()> {
+        self.start(balancer).await?;
+        self.end_interruptions(balancer);
         Ok(())
     }
 
-    /// Stops one for so long.
-    pub async fn stall(&self, n: usize, for_ms: f64) {
-        self.cuts.borrow_mut().push((n, self.ledger.now(), f64::INFINITY));
-        // Another process may have its place by the time it goes on.
-        let stopped = self.pid(n);
-        if let Some(pid) = stopped {
+    /// Suspends a balancer with SIGSTOP for this time.
+    pub async fn suspend_for(&self, balancer: usize, for_ms: f64) {
+        self.interruptions.borrow_mut().push((balancer, self.clock.now(), f64::INFINITY));
+        // The process ID is kept for SIGCONT: another process may have replaced this one by then.
+        let suspended = self.pid(balancer);
+        if let Some(pid) = suspended {
             let _ = kill_process(pid, Signal::STOP);
         }
         sleep(for_ms).await;
-        if let Some(pid) = stopped {
+        if let Some(pid) = suspended {
             let _ = kill_process(pid, Signal::CONT);
         }
-        self.cut_ends(n);
+        self.end_interruptions(balancer);
     }
 
-    fn cut_ends(&self, n: usize) {
-        let now = self.ledger.now();
-        let mut cuts = self.cuts.borrow_mut();
-        cuts.iter_mut()
-            .filter(|(b, _, to)| *b == n && to.is_infinite())
-            .for_each(|(.., to)| *to = now + 100.0);
+    fn end_interruptions(&self, balancer: usize) {
+        let now = self.clock.now();
+        let mut interruptions = self.interruptions.borrow_mut();
+        interruptions
+            .iter_mut()
+            .filter(|(b, _, end)| *b == balancer && end.is_infinite())
+            .for_each(|(.., end)| *end = now + 100.0);
     }
 
-    /// Has one read its configuration again.
-    pub fn reload(&self, n: usize) {
-        self.signal(n, Signal::HUP);
+    /// Has a balancer reload its configuration, with SIGHUP.
+    pub fn reload(&self, balancer: usize) {
+        self.signal(balancer, Signal::HUP);
     }
 
-    /// Tells one to end.
-    pub fn terminate(&self, n: usize) {
-        self.signal(n, Signal::TERM);
+    /// Sends SIGTERM to a balancer.
+    pub fn terminate(&self, balancer: usize) {
+        self.signal(balancer, Signal::TERM);
     }
 
-    /// Whether one has ended.
+    /// Returns true if a balancer has exited.
     ///
     /// # Errors
-    /// Fails if the system does not tell, or it has ended with a failure.
-    pub fn has_ended(&self, n: usize) -> io::Result<bool> {
-        let mut child = self.each[n].child.borrow_mut();
+    /// Fails if the status is unavailable, or if the balancer has exited with a failure.
+    pub fn has_exited(&self, balancer: usize) -> io::Result<bool> {
+        let mut child = self.balancers[balancer].child.borrow_mut();
         let Some(child) = child.as_mut() else { return Ok(true) };
         match child.try_wait()? {
             None => Ok(false),
             Some(status) if status.success() => Ok(true),
-            Some(status) => Err(io::Error::other(format!("balancer {n} ended with {status}"))),
+            Some(status) => Err(io::Error::other(format!("balancer {balancer} exited with {status}"))),
         }
     }
 
-    /// Starts another process in the place of one, which is given back.
+    /// Starts a new process of a balancer and returns the old one, which still runs.
     ///
     /// # Errors
-    /// Fails if the new one does not serve.
-    pub async fn replace(&self, n: usize) -> io::Result<Option<Child>> {
-        let new = self.spawn(n).await?;
-        Ok(self.each[n].child.replace(Some(new)))
+    /// Fails if the new process doesn't start.
+    pub async fn replace(&self, balancer: usize) -> io::Result<Option<Child>> {
+        let new = self.spawn(balancer).await?;
+        Ok(self.balancers[balancer].child.replace(Some(new)))
     }
 
-    /// Has another process take its place.
+    /// Upgrades a balancer: starts a new process, and terminates the old one with SIGTERM.
     ///
     /// # Errors
-    /// Fails if the new one does not serve, or the old one does not end.
-    pub async fn upgrade(&self, n: usize) -> io::Result<()> {
-        let new = self.spawn(n).await?;
-        self.signal(n, Signal::TERM);
-        let Some(mut old) = self.each[n].child.replace(Some(new)) else { return Ok(()) };
+    /// Fails if the new process doesn't start, or if the old one doesn't exit successfully within 5 s.
+    pub async fn upgrade(&self, balancer: usize) -> io::Result<()> {
+        let new = self.spawn(balancer).await?;
+        self.signal(balancer, Signal::TERM);
+        let Some(mut old) = self.balancers[balancer].child.replace(Some(new)) else { return Ok(()) };
         for _ in 0..500 {
             if let Some(status) = old.try_wait()? {
                 return if status.success() {
                     Ok(())
                 } else {
-                    Err(io::Error::other(format!("the old balancer {n} ended with {status}")))
+                    Err(io::Error::other(format!(
+                        "the old process of balancer {balancer} exited with {status}"
+                    )))
                 };
             }
             sleep(10.0).await;
         }
-        Err(io::Error::other(format!("the old balancer {n} does not end")))
+        Err(io::Error::other(format!("the old process of balancer {balancer} doesn't exit")))
     }
 
-    /// Those that have ended by themselves.
+    /// Returns the balancers that have exited unexpectedly.
     #[must_use]
     pub fn crashed(&self) -> Vec<usize> {
-        let ended = |n: &usize| {
-            let mut child = self.each[*n].child.borrow_mut();
-            child.as_mut().is_none_or(|c| !matches!(c.try_wait(), Ok(None)))
+        let has_exited = |balancer: &usize| {
+            let mut child = self.balancers[*balancer].child.borrow_mut();
+            child.as_mut().is_none_or(|child| !matches!(child.try_wait(), Ok(None)))
         };
-        (0..self.each.len()).filter(ended).collect()
+        (0..self.balancers.len()).filter(has_exited).collect()
     }
 
-    /// What of the logs tells of a fault in the program itself.
+    /// Returns the log lines that report a panic.
     #[must_use]
-    pub fn panics(&self) -> Vec<String> {
-        let mut found = Vec::new();
-        for n in 0..self.each.len() {
-            for start in 0..self.each[n].starts.get() {
-                let log = self.folder_of(n).join(format!("log.{start}"));
-                let text = std::fs::read_to_string(&log).unwrap_or_default();
-                found.extend(text.lines().filter(|l| l.contains("panicked")).map(|l| format!("b{n}: {l}")));
+    pub fn panic_messages(&self) -> Vec<String> {
+        let mut messages = Vec::new();
+        for balancer in 0..self.balancers.len() {
+            for start in 0..self.balancers[balancer].start_count.get() {
+                let log_path = self.balancer_folder(balancer).join(format!("log.{start}"));
+                let text = std::fs::read_to_string(&log_path).unwrap_or_default();
+                messages.extend(
+                    text.lines()
+                        .filter(|line| line.contains("panicked"))
+                        .map(|line| format!("b{balancer}: {line}")),
+                );
             }
         }
-        found
+        messages
     }
 }
 
 impl Drop for Balancers {
     fn drop(&mut self) {
-        for balancer in &self.each {
+        for balancer in &self.balancers {
             if let Some(child) = balancer.child.borrow_mut().as_mut() {
                 let _ = (child.kill(), child.wait());
             }
@@ -345,21 +389,22 @@
     }
 }
 
-/// An address that is free now, of this process's own part of the loopback network: a balancer that is killed leaves its
-/// port free for a while, and another run beside this one must not get it.
+/// Returns a free address. It is from a part of the loopback network that depends on this process's ID: the port of
+/// a killed balancer is free for a while, and another run on the same machine must not get it.
 ///
 /// # Errors
-/// Fails if there is none.
-pub fn free() -> io::Result<SocketAddr> {
+/// Fails if no port is free.
+pub fn free_address() -> io::Result<SocketAddr> {
     let [.., high, low] = std::process::id().to_be_bytes();
     TcpListener::bind((Ipv4Addr::new(127, 96 + high % 32, low, 1), 0))?.local_addr()
 }
 
-/// The folder of an experiment's results, empty.
+/// Creates an empty folder for the results of an experiment and returns its path. An old folder of that name is
+/// deleted.
 ///
 /// # Errors
-/// Fails if it can't be made.
-pub fn folder(root: &Path, name: &str) -> io::Result<PathBuf> {
+/// Fails if the folder can't be deleted or created.
+pub fn create_results_folder(root: &Path, name: &str) -> io::Result<PathBuf> {
     let folder = root.join(name);
     match std::fs::remove_dir_all(&folder) {
         Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
--- a/lab/src/experiment.rs
+++ b/lab/src/experiment.rs
@@ -1,4 +1,4 @@
-//! Experiments as data: what there is, what it does, what goes wrong, and what has to come of it.
+//! Experiment files of `marllink-lab run`: the fleet, the load on it, the faults, and bounds on the figures.
 
 use marllink_fleet::Comparison;
 use schemars::JsonSchema;
@@ -8,192 +8,213 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// Its name, by which the folder of its results is called.
+    /// Name of the experiment, and of the folder that its results are written to.
     pub name: String,
-    /// For how long drafters save, in seconds; after that they see what they have through.
+    /// Time for which clients save fields, in seconds. After it they only wait for open confirmations.
     #[schemars(range(min = 1, max = 3_600))]
-    pub seconds: u32,
-    /// For random numbers.
+    #[serde(rename = "seconds")]
+    pub duration_s: u32,
+    /// Seed of all random numbers.
     #[serde(default)]
     pub seed: u64,
-    /// What there is.
+    /// The balancers and servers.
     pub fleet: Fleet,
-    /// What drafters do.
+    /// The clients.
     pub load: Load,
-    /// What operators have set of sessions.
+    /// The session settings of all balancers.
     pub sessions: Sessions,
-    /// What goes wrong, in the order of time.
+    /// Faults, in order of time.
     #[serde(default)]
     pub faults: Vec<Fault>,
-    /// What has to come of it, besides that no rule is broken.
-    #[serde(default)]
-    pub verdict: Vec<Bound>,
+    /// Bounds on the figures. Independent of them, no protocol rule may be violated.
+    #[serde(default, rename = "verdict")]
+    pub bounds: Vec<Bound>,
 }
 
-/// What there is.
+/// The balancers and servers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// Balancers, each a process.
+    /// Number of balancers, each a process of its own.
     #[schemars(range(min = 1, max = 16))]
     pub balancers: usize,
-    /// Form hosts.
+    /// Number of servers.
     #[schemars(range(min = 1, max = 200))]
-    pub hosts: usize,
-    /// Zones, over which form hosts are spread.
-    #[serde(default = "two")]
+    #[serde(rename = "hosts")]
+    pub servers: usize,
+    /// Number of zones that the servers are distributed over.
+    #[serde(default = "default_zones")]
     #[schemars(range(min = 1, max = 8))]
     pub zones: usize,
-    /// Connections that a form host holds at most.
-    #[serde(default = "capacity")]
+    /// Maximum number of connections to each server.
+    #[serde(default = "default_capacity")]
     pub capacity: usize,
-    /// Form hosts' clocks run too fast or too slow by up to so much, in hundredths.
+    /// Maximum error of each server's clock rate in either direction, in percent.
     #[serde(default)]
     #[schemars(range(min = 0.0, max = 20.0))]
     pub clock_drift_percent: f64,
-    /// Discovery tells of form hosts so late, in milliseconds.
-    #[serde(default = "late_ms")]
-    pub late_news_ms: u32,
+    /// Time after which discovery publishes a change of a server, in milliseconds.
+    #[serde(default = "default_discovery_delay_ms", rename = "late_news_ms")]
+    pub discovery_delay_ms: u32,
 }
 
-fn two() -> usize {
+fn default_zones() -> usize {
     2
 }
-fn capacity() -> usize {
+fn default_capacity() -> usize {
     1_000
 }
-fn late_ms() -> u32 {
+fn default_discovery_delay_ms() -> u32 {
     1_000
 }
 
-/// What drafters do.
+/// The clients, each of which saves the fields of a form in a session.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// How many there are.
+    /// Number of clients.
     #[schemars(range(min = 1, max = 20_000))]
-    pub drafters: usize,
-    /// They come over so many seconds.
-    pub over_s: f64,
-    /// One saves so often, in milliseconds.
-    pub save_every_ms: f64,
-    /// Fields of a form.
+    #[serde(rename = "drafters")]
+    pub clients: usize,
+    /// Time over which the clients arrive, in seconds.
+    #[serde(rename = "over_s")]
+    pub arrival_s: f64,
+    /// Interval between two saves of a client, in milliseconds.
+    #[serde(rename = "save_every_ms")]
+    pub save_interval_ms: f64,
+    /// Number of fields in a form.
     #[schemars(range(min = 1))]
-    pub fields: usize,
-    /// Bytes of a value.
+    #[serde(rename = "fields")]
+    pub field_count: usize,
+    /// Size of a field's value, in bytes.
     pub value_bytes: usize,
-    /// Saves sent without waiting for their confirmation.
+    /// Maximum number of unconfirmed saves of a client.
     #[schemars(range(min = 1))]
-    pub in_flight: usize,
-    /// Every so often, in milliseconds, a thief shows a token at all balancers at once; 0 for never.
-    #[serde(default)]
-    pub thief_every_ms: f64,
+    #[serde(rename = "in_flight")]
+    pub max_unconfirmed: usize,
+    /// Interval at which an impostor presents another client's token to all balancers at once, in
+    /// milliseconds; 0 for never.
+    #[serde(default, rename = "thief_every_ms")]
+    pub impostor_interval_ms: f64,
 }
 
-/// What operators have set of sessions.
+/// The session settings of all balancers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Sessions {
-    /// As in the operators' file.
+    /// Number of lease replicas of a session, as in the operators' configuration.
     #[schemars(extend("enum" = [1, 3, 5]))]
-    pub keepers: u8,
-    /// As there.
+    #[serde(rename = "keepers")]
+    pub replicas: u8,
+    /// Duration of a lease in milliseconds, as in the operators' configuration.
     #[schemars(range(min = 200, max = 30_000))]
     pub lease_ms: u32,
-    /// As there.
+    /// Lifetime of a token in seconds, as in the operators' configuration.
     #[schemars(range(min = 10, max = 86_400))]
     pub token_s: u32,
-    /// A new key is added then, in seconds, and the first withdrawn 3 s later; never if left out.
+    /// Time at which a new key is added, in seconds. The first key is withdrawn 3 s later. Keys are never
+    /// rotated if this is missing.
     #[serde(default)]
     pub rotate_keys_at_s: Option<f64>,
 }
 
-/// Something that goes wrong.
+/// A fault at a given time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// When, in seconds.
+    /// Time at which it begins, in seconds.
     pub at_s: f64,
-    /// What.
-    pub what: What,
+    /// What happens.
+    #[serde(rename = "what")]
+    pub kind: FaultKind,
 }
 
-/// What may go wrong. Form hosts and balancers count from 0.
+/// The types of faults. Servers and balancers are numbered from 0; `for_s` is always the duration, in seconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub enum What {
-    /// A form host is killed, and begins anew and empty after so many seconds.
-    KillHost {
-        /// Which.
-        host: usize,
-        /// For how long.
+#[schemars(rename = "What")]
+pub enum FaultKind {
+    /// A server is killed, and starts again without any state.
+    #[serde(rename = "kill-host")]
+    KillServer {
+        /// Index of the server.
+        #[serde(rename = "host")]
+        server: usize,
+        /// Time until it starts again, in seconds.
         for_s: f64,
     },
-    /// A form host does nothing.
-    StallHost {
-        /// Which.
-        host: usize,
-        /// For how long.
+    /// A server stalls: it keeps its connections open and does nothing.
+    #[serde(rename = "stall-host")]
+    StallServer {
+        /// Index of the server.
+        #[serde(rename = "host")]
+        server: usize,
+        /// Duration, in seconds.
         for_s: f64,
     },
-    /// Nothing passes between a form host and a balancer.
-    Split {
-        /// Which form host.
-        host: usize,
-        /// Which balancer.
+    /// A network partition between a server and a balancer.
+    #[serde(rename = "split")]
+    Partition {
+        /// Index of the server.
+        #[serde(rename = "host")]
+        server: usize,
+        /// Index of the balancer.
         balancer: usize,
-        /// For how long.
+        /// Duration, in seconds.
         for_s: f64,
     },
-    /// A form host is listed as draining.
+    /// A server is listed as draining.
     Drain {
-        /// Which.
-        host: usize,
-        /// For how long.
+        /// Index of the server.
+        #[serde(rename = "host")]
+        server: usize,
+        /// Duration, in seconds.
         for_s: f64,
     },
-    /// A balancer is killed, and started again after so many seconds.
+    /// A balancer is killed with SIGKILL, and starts again.
     KillBalancer {
-        /// Which.
+        /// Index of the balancer.
         balancer: usize,
-        /// For how long.
+        /// Time until it starts again, in seconds.
         for_s: f64,
     },
-    /// A balancer's process is stopped.
+    /// A balancer's process is suspended with SIGSTOP.
     StallBalancer {
-        /// Which.
+        /// Index of the balancer.
         balancer: usize,
-        /// For how long.
+        /// Duration, in seconds.
         for_s: f64,
     },
-    /// A balancer is upgraded: another process takes its place.
+    /// A balancer is upgraded: a new process takes over from the running one.
     UpgradeBalancer {
-        /// Which.
+        /// Index of the balancer.
         balancer: usize,
     },
 }
 
-/// A bound on one of the figures.
+/// A bound on a figure.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Bound {
-    /// The figure's name, as in `figures.csv`.
+    /// Name of the figure, as in `figures.csv`.
     pub figure: String,
-    /// How it is bounded.
-    pub is: Comparison,
-    /// By what.
-    pub bound: f64,
+    /// How the figure compares with the limit.
+    #[serde(rename = "is")]
+    pub comparison: Comparison,
+    /// The limit.
+    #[serde(rename = "bound")]
+    pub limit: f64,
 }
 
 impl Bound {
-    /// True if a figure keeps to it.
+    /// Returns true if the value satisfies the bound.
     #[must_use]
-    pub fn holds(&self, figure: f64) -> bool {
-        self.is.holds(figure, self.bound)
+    pub fn holds(&self, value: f64) -> bool {
+        self.comparison.holds(value, self.limit)
     }
 }
 
-/// The schema of experiment files.
+/// Returns the JSON schema of experiment files.
 #[must_use]
 pub fn schema() -> serde_json::Value {
     schemars::schema_for!(Experiment).to_value()
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,22 +1,22 @@
-//! `marllink-lab`: experiments with the real daemon between stand-ins.
+//! `marllink-lab`: experiments that run the real daemon against emulated clients, servers and discovery, with faults.
 
 mod balancers;
-mod come_back;
 mod deployments;
 mod experiment;
 mod matrix;
+mod recovery;
 mod results;
 mod run;
 mod soak;
 
 use clap::{Parser, Subcommand};
-use experiment::{Experiment, Fault, Fleet, Load, Sessions, What};
+use experiment::{Experiment, Fault, FaultKind, Fleet, Load, Sessions};
 use marllink_emulator::model::InjectedBug;
 use results::Sample;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Experiments with the real daemon between stand-ins, on this machine's loopback addresses.
+/// Runs experiments with the real daemon against emulated clients, servers and discovery, on loopback addresses.
 #[derive(Debug, Parser)]
 #[command(name = "marllink-lab", version)]
 struct Cli {
@@ -26,163 +26,182 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Run an experiment, and exit with 0 only if no rule was broken and every bound holds.
+    /// Run an experiment. Exits with 0 only if no rule is violated and all bounds hold.
     Run {
-        /// The experiment's file.
+        /// Experiment file.
         file: PathBuf,
-        /// Plant this bug, which the experiment must then find.
-        #[arg(long, value_name = "NAME")]
-        plant: Option<String>,
-        /// Where the folder of results goes.
-        #[arg(long, value_name = "FOLDER", default_value = "target/lab")]
-        out: PathBuf,
-        /// Print nothing but the verdict.
+        /// Inject this bug, which the experiment must find.
+        #[arg(long = "plant", value_name = "NAME")]
+        injected_bug: Option<String>,
+        /// Folder in which the folder of results is created.
+        #[arg(long = "out", value_name = "FOLDER", default_value = "target/lab")]
+        results_folder: PathBuf,
+        /// Print only the verdict.
         #[arg(long)]
         quiet: bool,
     },
-    /// Start form hosts, discovery, balancers and drafters, kill a form host now and then, and show what
-    /// becomes of the drafters' sessions.
+    /// Run servers, discovery, balancers and clients, kill servers and a balancer, and show what happens to
+    /// the clients' sessions.
     Demo {
-        /// For how long.
+        /// Duration, in seconds.
         #[arg(long, default_value_t = 30)]
         seconds: u32,
-        /// How many drafters.
-        #[arg(long, default_value_t = 60)]
-        drafters: usize,
+        /// Number of clients.
+        #[arg(long = "drafters", value_name = "DRAFTERS", default_value_t = 60)]
+        clients: usize,
     },
-    /// Play days x strategies x seeds of a whole fleet in virtual time, and exit with 0 only if no rule was
-    /// broken and every bound holds.
+    /// Simulate a whole fleet in virtual time, for each scenario, strategy and seed. Exits with 0 only if no
+    /// invariant is violated and all bounds hold.
     Model {
-        /// The matrix's file.
+        /// Matrix file.
         file: PathBuf,
-        /// Plant this bug in the first strategy, which the matrix must then find.
-        #[arg(long, value_name = "NAME", value_parser = plant)]
-        plant: Option<marllink::InjectedBug>,
-        /// Play so many seeds instead of as many as the file says.
+        /// Inject this bug into the first strategy, which the bounds must find.
+        #[arg(long = "plant", value_name = "NAME", value_parser = parse_model_bug)]
+        injected_bug: Option<marllink::InjectedBug>,
+        /// Number of seeds, instead of the number in the file.
         #[arg(long, value_name = "COUNT", value_parser = clap::value_parser!(u64).range(1..=100))]
         seeds: Option<u64>,
-        /// Play this day alone.
-        #[arg(long, value_name = "NAME")]
-        day: Option<String>,
-        /// Where the folder of results goes.
-        #[arg(long, value_name = "FOLDER", default_value = "target/lab")]
-        out: PathBuf,
-        /// Print nothing but the verdict.
+        /// Run only this scenario.
+        #[arg(long = "day", value_name = "NAME")]
+        scenario: Option<String>,
+        /// Folder in which the folder of results is created.
+        #[arg(long = "out", value_name = "FOLDER", default_value = "target/lab")]
+        results_folder: PathBuf,
+        /// Print only the verdict.
         #[arg(long)]
         quiet: bool,
     },
-    /// Run the real daemon between stand-ins on a sample of kinds of deployments, some seconds each, and exit with
-    /// 0 only if no rule of the protocol was broken on any.
+    /// Run the real daemon for a few seconds on each of several randomly drawn deployments. Exits with 0 only if
+    /// no rule of the protocol is violated.
     Deployments {
-        /// The number of the first.
+        /// Number of the first deployment.
         #[arg(long, default_value_t = 1)]
         first: u64,
-        /// How many.
+        /// Number of deployments.
         #[arg(long, default_value_t = 6, value_parser = clap::value_parser!(u64).range(1..=200))]
         count: u64,
-        /// Plant a fault that must be found: discovery notes drains as told and keeps them to itself.
-        #[arg(long)]
-        plant_untold: bool,
-        /// Where the daemons' folders go.
-        #[arg(long, value_name = "FOLDER", default_value = "target/lab")]
-        out: PathBuf,
+        /// Inject a bug that must be found: discovery records drains as sent without sending them.
+        #[arg(long = "plant-untold")]
+        hides_drains: bool,
+        /// Folder in which the daemons' folders are created.
+        #[arg(long = "out", value_name = "FOLDER", default_value = "target/lab")]
+        results_folder: PathBuf,
     },
-    /// Run many real processes under faults that follow from a seed, and exit with 0 only if no rule was broken.
+    /// Run many real processes under randomly drawn faults. Exits with 0 only if no rule is violated.
     Soak {
-        /// The seeds to play, as in 1..50.
-        #[arg(long, default_value = "1..3", value_parser = seeds)]
+        /// Range of seeds, both ends included, as in 1..50.
+        #[arg(long, default_value = "1..3", value_parser = parse_seeds)]
         seeds: std::ops::RangeInclusive<u64>,
-        /// Play this seed alone.
+        /// Run only this seed.
         #[arg(long, conflicts_with = "seeds")]
         replay: Option<u64>,
-        /// Balancers in each run.
+        /// Number of balancers in each run.
         #[arg(long, default_value_t = 6, value_parser = clap::value_parser!(u16).range(1..=400))]
         processes: u16,
-        /// How long clients come in each run.
+        /// Time over which clients arrive in each run, in seconds.
         #[arg(long, default_value_t = 6.0)]
         seconds: f64,
-        /// One kind of faults alone.
+        /// Inject only this kind of faults.
         #[arg(long)]
         fault: Option<soak::FaultKind>,
-        /// Plant this bug, which must then be found.
-        #[arg(long)]
-        plant: Option<soak::Plant>,
-        /// Fail if a fault that was planned has never fired.
+        /// Inject this bug, which must be found.
+        #[arg(long = "plant", value_name = "PLANT")]
+        injected_bug: Option<soak::InjectedBug>,
+        /// Fail if a planned fault never fires.
         #[arg(long)]
         all_must_fire: bool,
-        /// Where the folders of the runs go.
-        #[arg(long, value_name = "FOLDER", default_value = "target/lab")]
-        out: PathBuf,
+        /// Folder in which the folders of the runs are created.
+        #[arg(long = "out", value_name = "FOLDER", default_value = "target/lab")]
+        results_folder: PathBuf,
     },
-    /// Print the JSON schema of experiment files, or of matrix files.
+    /// Print the JSON schema of a kind of input files.
     Schema {
-        /// Of which.
-        #[arg(value_enum, default_value_t = Kind::Experiment)]
-        of: Kind,
+        /// Kind of files.
+        #[arg(value_enum, value_name = "OF", default_value_t = FileKind::Experiment)]
+        kind: FileKind,
     },
-    /// Serve as the daemon under test does, with the environment as `marllink` takes it.
+    /// Run as the daemon under test, configured by the same environment variables as `marllink`.
     #[command(hide = true)]
     Daemon,
 }
 
-/// Kinds of files that the lab reads.
+/// The kinds of input files.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
-enum Kind {
-    /// For `run`.
+enum FileKind {
+    /// Experiments of `run`.
     Experiment,
-    /// For `run`, with several balancers and a crowd.
-    ComeBack,
-    /// For `model`.
+    /// Experiments of `run` on the recovery of several balancers.
+    #[value(name = "come-back")]
+    Recovery,
+    /// Matrices of `model`.
     Matrix,
 }
 
-/// A planted bug by its name.
-fn plant(name: &str) -> Result<marllink::InjectedBug, String> {
+/// Parses the name of a bug that can be injected into a strategy.
+fn parse_model_bug(name: &str) -> Result<marllink::InjectedBug, String> {
     serde_json::from_value(serde_json::Value::from(name)).map_err(|e| e.to_string())
 }
 
-/// Seeds as `FIRST..LAST`, both of them included.
-fn seeds(text: &str) -> Result<std::ops::RangeInclusive<u64>, String> {
-    let (first, last) = text.split_once("..").ok_or("wanted: FIRST..LAST")?;
+/// Parses a range of seeds, `FIRST..LAST`, both ends included.
+fn parse_seeds(text: &str) -> Result<std::ops::RangeInclusive<u64>, String> {
+    let (first, last) = text.split_once("..").ok_or("expected FIRST..LAST")?;
     let number = |text: &str| text.parse::<u64>().map_err(|e| e.to_string());
     Ok(number(first)?..=number(last)?)
 }
 
 fn main() -> ExitCode {
-    let done = match Cli::parse().command {
+    let result = match Cli::parse().command {
         Command::Daemon => return marllink_node::serve(&marllink_node::Options::default()),
-        Command::Schema { of } => {
-            let schema = match of {
-                Kind::Matrix => matrix::schema(),
-                Kind::Experiment => experiment::schema(),
-                Kind::ComeBack => come_back::schema(),
+        Command::Schema { kind } => {
+            let schema = match kind {
+                FileKind::Matrix => matrix::schema(),
+                FileKind::Experiment => experiment::schema(),
+                FileKind::Recovery => recovery::schema(),
             };
             println!("{schema:#}");
             Ok(true)
         }
-        Command::Deployments { first, count, plant_untold, out } => balancers::folder(&out, "deployments")
-            .map_err(|e| e.to_string())
-            .and_then(|folder| deployments::sample(first, count, &folder, plant_untold)),
-        Command::Model { file, plant, seeds, day, out, quiet } => {
-            model(&file, plant, seeds, day, &out, quiet)
+        Command::Deployments { first, count, hides_drains, results_folder } => {
+            balancers::create_results_folder(&results_folder, "deployments")
+                .map_err(|e| e.to_string())
+                .and_then(|folder| deployments::run_sample(first, count, &folder, hides_drains))
+        }
+        Command::Model { file, injected_bug, seeds, scenario, results_folder, quiet } => {
+            run_model(&file, injected_bug, seeds, scenario, &results_folder, quiet)
         }
-        Command::Soak { seeds, replay, processes, seconds, fault, plant, all_must_fire, out } => {
+        Command::Soak {
+            seeds,
+            replay,
+            processes,
+            seconds,
+            fault,
+            injected_bug,
+            all_must_fire,
+            results_folder,
+        } => {
             let seeds = replay.map_or(seeds, |seed| seed..=seed);
             let processes = usize::from(processes);
             let only = fault;
-            soak::run(&soak::Options { seeds, processes, seconds, only, plant, all_must_fire, out })
+            soak::run(&soak::Options {
+                seeds,
+                processes,
+                seconds,
+                only,
+                injected_bug,
+                all_must_fire,
+                results_folder,
+            })
         }
-        Command::Run { file, plant, out, quiet } if come_backs(&file) => {
-            come_back(&file, plant.as_deref(), &out, quiet)
+        Command::Run { file, injected_bug, results_folder, quiet } if is_recovery_experiment(&file) => {
+            run_recovery(&file, injected_bug.as_deref(), &results_folder, quiet)
         }
-        Command::Run { file, plant, out, quiet } => {
-            planted(plant.as_deref()).and_then(|plant| run(&read(&file)?, plant, &out, quiet))
-        }
-        Command::Demo { seconds, drafters } => {
-            run(&demo(seconds, drafters), None, Path::new("target/lab"), false)
+        Command::Run { file, injected_bug, results_folder, quiet } => parse_bug(injected_bug.as_deref())
+            .and_then(|injected_bug| run(&read_experiment(&file)?, injected_bug, &results_folder, quiet)),
+        Command::Demo { seconds, clients } => {
+            run(&demo_experiment(seconds, clients), None, Path::new("target/lab"), false)
         }
     };
-    match done {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(message) => {
@@ -192,134 +211,153 @@
     }
 }
 
-/// A bug to plant by its name, among those of one kind of experiments.
-fn planted<P: std::str::FromStr<Err = String>>(name: Option<&str>) -> Result<Option<P>, String> {
+/// Parses the name of a bug that can be injected into one kind of experiments.
+fn parse_bug<P: std::str::FromStr<Err = String>>(name: Option<&str>) -> Result<Option<P>, String> {
     name.map(|name| name.parse().map_err(|e| format!("--plant {name}: {e}"))).transpose()
 }
 
-/// True if a file is of those with several balancers and a crowd. What can't be read is told of by whoever reads it.
-fn come_backs(file: &Path) -> bool {
+/// Returns true if a file is an experiment on recovery. Errors are left to the function that reads the whole file.
+fn is_recovery_experiment(file: &Path) -> bool {
     let value =
         std::fs::read(file).ok().and_then(|text| serde_json::from_slice::<serde_json::Value>(&text).ok());
     value.is_some_and(|value| value.get("crowd").is_some())
 }
 
-/// Runs an experiment with several balancers; true if it is sound.
-fn come_back(file: &Path, plant: Option<&str>, out: &Path, quiet: bool) -> Result<bool, String> {
-    let plant = planted(plant)?;
-    let (name, experiment): (_, come_back::ComeBack) = read_by(file, &come_back::schema())?;
-    come_back::sound(&experiment).map_err(|e| format!("{name}: {e}"))?;
-    let program = std::env::current_exe().map_err(|e| e.to_string())?;
-    let folder = balancers::folder(out, &experiment.name).map_err(|e| format!("{}: {e}", out.display()))?;
+/// Runs an experiment on recovery. Returns true if it passes.
+fn run_recovery(
+    file: &Path,
+    injected_bug: Option<&str>,
+    results_folder: &Path,
+    quiet: bool,
+) -> Result<bool, String> {
+    let injected_bug = parse_bug(injected_bug)?;
+    let (name, experiment): (_, recovery::RecoveryExperiment) = read_with_schema(file, &recovery::schema())?;
+    recovery::validate(&experiment).map_err(|e| format!("{name}: {e}"))?;
+    let daemon_program = std::env::current_exe().map_err(|e| e.to_string())?;
+    let folder = balancers::create_results_folder(results_folder, &experiment.name)
+        .map_err(|e| format!("{}: {e}", results_folder.display()))?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| e.to_string())?;
-    let running = come_back::run(&experiment, program, &folder, plant);
+    let running = recovery::run(&experiment, daemon_program, &folder, injected_bug);
     let results = tokio::task::LocalSet::new().block_on(&runtime, running).map_err(|e| e.to_string())?;
     results.write(&folder).map_err(|e| e.to_string())?;
     if !quiet {
         println!(
-            "{} asked, {} served, {} lost with their balancer, {} refused or cut off; {} attempts at form hosts that are gone;\n\
-             {:.2} attempts for each client in the worst second after a kill; full service after {:.1?} s",
-            results.asked,
+            "{} requests, {} served, {} lost with their balancer, {} rejected or interrupted; {} attempts at deleted servers;\n\
+             {:.2} attempts for each client in the worst second after a kill; service recovered after {:.1?} s",
+            results.requests,
             results.served,
-            results.lost,
-            results.refused,
-            results.stale,
-            results.wave,
-            results.back_s
+            results.lost_requests,
+            results.rejected,
+            results.stale_attempts,
+            results.attempt_burst,
+            results.recovery_s
         );
     }
-    if results.late > 0 {
-        println!("{} answers late: a loaded machine, or a fault", results.late);
+    if results.late_answers > 0 {
+        println!("{} late answers, caused by a loaded machine or a fault", results.late_answers);
     }
-    match results.against.as_slice() {
-        [] => println!("{}: kept: no rule was broken and every bound holds", experiment.name),
-        against => {
-            let shown = &against[..against.len().min(8)];
-            println!("{}: BROKEN, {} times:\n  {}", experiment.name, against.len(), shown.join("\n  "));
+    match results.failures.as_slice() {
+        [] => println!("{}: kept: no rule violated, all bounds hold", experiment.name),
+        failures => {
+            let displayed = &failures[..failures.len().min(8)];
+            println!(
+                "{}: BROKEN, {} failures:\n  {}",
+                experiment.name,
+                failures.len(),
+                displayed.join("\n  ")
+            );
         }
     }
-    Ok(results.against.is_empty())
+    Ok(results.failures.is_empty())
 }
 
-/// Reads a file by its schema, with its name as problems call it.
-fn read_by<T: serde::de::DeserializeOwned>(
+/// Reads a file and checks it against its schema. Returns its name for error messages, and the value.
+fn read_with_schema<T: serde::de::DeserializeOwned>(
     file: &Path,
     schema: &serde_json::Value,
 ) -> Result<(String, T), String> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: {e}"))?;
-    let problems = |all: Vec<marllink_config::Problem>| {
+    let format_problems = |all: Vec<marllink_config::Problem>| {
         all.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
     };
-    let value = marllink_config::parse_with_schema(&name, &text, schema).map_err(problems)?;
+    let value = marllink_config::parse_with_schema(&name, &text, schema).map_err(format_problems)?;
     Ok((name, value))
 }
 
-/// Plays a matrix; true if nothing speaks against its first strategy.
-fn model(
+/// Runs a matrix. Returns true if its first strategy passes.
+fn run_model(
     file: &Path,
-    plant: Option<marllink::InjectedBug>,
+    injected_bug: Option<marllink::InjectedBug>,
     seeds: Option<u64>,
-    day: Option<String>,
-    out: &Path,
+    scenario: Option<String>,
+    results_folder: &Path,
     quiet: bool,
 ) -> Result<bool, String> {
-    let (name, mut matrix): (_, marllink_fleet::Matrix) = read_by(file, &matrix::schema())?;
-    matrix::sound(&name, &matrix)?;
+    let (name, mut matrix): (_, marllink_fleet::Matrix) = read_with_schema(file, &matrix::schema())?;
+    matrix::validate(&name, &matrix)?;
     matrix.seeds = seeds.unwrap_or(matrix.seeds);
-    if let Some(day) = day {
-        matrix.scenarios.retain(|d| d.name == day);
+    if let Some(scenario_name) = scenario {
+        matrix.scenarios.retain(|scenario| scenario.name == scenario_name);
         if matrix.scenarios.is_empty() {
-            return Err(format!("{name}: there is no day \"{day}\""));
+            return Err(format!("{name}: unknown scenario \"{scenario_name}\""));
         }
     }
-    if let Some(plant) = plant {
-        matrix.strategies[0] = matrix.strategies[0].with_bug(plant);
+    if let Some(injected_bug) = injected_bug {
+        matrix.strategies[0] = matrix.strategies[0].with_bug(injected_bug);
         matrix.strategies.truncate(1);
     }
-    let folder = balancers::folder(out, &matrix.name).map_err(|e| format!("{}: {e}", out.display()))?;
-    let against = matrix::run(&matrix, &folder, quiet).map_err(|e| e.to_string())?;
-    let shown = folder.strip_prefix(std::env::current_dir().unwrap_or_default()).unwrap_or(&folder);
-    println!("results in {}", shown.display());
-    match against.is_empty() {
-        true => println!("{}: kept: no rule was broken and every bound holds", matrix.name),
-        false => println!("{}: BROKEN:\n  {}", matrix.name, against.join("\n  ")),
+    let folder = balancers::create_results_folder(results_folder, &matrix.name)
+        .map_err(|e| format!("{}: {e}", results_folder.display()))?;
+    let failures = matrix::run(&matrix, &folder, quiet).map_err(|e| e.to_string())?;
+    let displayed = folder.strip_prefix(std::env::current_dir().unwrap_or_default()).unwrap_or(&folder);
+    println!("results in {}", displayed.display());
+    match failures.is_empty() {
+        true => println!("{}: kept: no rule violated, all bounds hold", matrix.name),
+        false => println!("{}: BROKEN:\n  {}", matrix.name, failures.join("\n  ")),
     }
-    Ok(against.is_empty())
+    Ok(failures.is_empty())
 }
 
-fn read(file: &Path) -> Result<Experiment, String> {
-    let (name, experiment): (_, Experiment) = read_by(file, &experiment::schema())?;
-    let (hosts, balancers) = (experiment.fleet.hosts, experiment.fleet.balancers);
-    for (at, fault) in experiment.faults.iter().enumerate() {
-        let (host, balancer) = match fault.what {
-            What::KillHost { host, .. } | What::StallHost { host, .. } | What::Drain { host, .. } => {
-                (host, 0)
-            }
-            What::Split { host, balancer, .. } => (host, balancer),
-            What::KillBalancer { balancer, .. }
-            | What::StallBalancer { balancer, .. }
-            | What::UpgradeBalancer { balancer } => (0, balancer),
+/// Reads an experiment file and checks that all servers and balancers in it exist.
+fn read_experiment(file: &Path) -> Result<Experiment, String> {
+    let (name, experiment): (_, Experiment) = read_with_schema(file, &experiment::schema())?;
+    let (servers, balancers) = (experiment.fleet.servers, experiment.fleet.balancers);
+    for (index, fault) in experiment.faults.iter().enumerate() {
+        let (server, balancer) = match fault.kind {
+            FaultKind::KillServer { server, .. }
+            | FaultKind::StallServer { server, .. }
+            | FaultKind::Drain { server, .. } => (server, 0),
+            FaultKind::Partition { server, balancer, .. } => (server, balancer),
+            FaultKind::KillBalancer { balancer, .. }
+            | FaultKind::StallBalancer { balancer, .. }
+            | FaultKind::UpgradeBalancer { balancer } => (0, balancer),
         };
-        if host >= hosts || balancer >= balancers {
+        if server >= servers || balancer >= balancers {
             return Err(format!(
-                "{name}: /faults/{at}/what: there is no such party; wanted: a form host under {hosts}, a balancer under {balancers}"
+                "{name}: /faults/{index}/what: the server must be less than {servers}, and the balancer less than {balancers}"
             ));
         }
     }
     Ok(experiment)
 }
 
-/// Runs an experiment; true if it is sound.
-fn run(experiment: &Experiment, plant: Option<InjectedBug>, out: &Path, quiet: bool) -> Result<bool, String> {
-    let program = std::env::current_exe().map_err(|e| e.to_string())?;
-    let folder = balancers::folder(out, &experiment.name).map_err(|e| format!("{}: {e}", out.display()))?;
-    let progress: fn(&Sample, &str) = if quiet { |_, _| {} } else { show };
+/// Runs an experiment. Returns true if it passes.
+fn run(
+    experiment: &Experiment,
+    injected_bug: Option<InjectedBug>,
+    results_folder: &Path,
+    quiet: bool,
+) -> Result<bool, String> {
+    let daemon_program = std::env::current_exe().map_err(|e| e.to_string())?;
+    let folder = balancers::create_results_folder(results_folder, &experiment.name)
+        .map_err(|e| format!("{}: {e}", results_folder.display()))?;
+    let progress: fn(&Sample, &str) = if quiet { |_, _| {} } else { print_sample };
     if !quiet {
         println!("{:>6} {:>8} {:>12} {:>8}  last fault", "second", "working", "connections", "held");
     }
-    let options = run::Options { program, folder: folder.clone(), plant, progress };
+    let options = run::Options { daemon_program, results_folder: folder.clone(), injected_bug, progress };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| e.to_string())?;
     let results = tokio::task::LocalSet::new()
@@ -332,52 +370,53 @@
         }
         results.verdict.findings.iter().for_each(|finding| println!("  {finding}"));
     }
-    let against = results.against();
-    let shown = folder.strip_prefix(std::env::current_dir().unwrap_or_default()).unwrap_or(&folder);
-    println!("results in {}", shown.display());
-    match against.is_empty() {
-        true => println!("{}: kept: no rule was broken and every bound holds", experiment.name),
-        false => println!("{}: BROKEN: {}", experiment.name, against.join("; ")),
+    let failures = results.failures();
+    let displayed = folder.strip_prefix(std::env::current_dir().unwrap_or_default()).unwrap_or(&folder);
+    println!("results in {}", displayed.display());
+    match failures.is_empty() {
+        true => println!("{}: kept: no rule violated, all bounds hold", experiment.name),
+        false => println!("{}: BROKEN: {}", experiment.name, failures.join("; ")),
     }
-    Ok(against.is_empty())
+    Ok(failures.is_empty())
 }
 
-fn show(sample: &Sample, fault: &str) {
-    let Sample { second, working, connections, held } = sample;
-    println!("{second:>6} {working:>8} {connections:>12} {held:>8}  {fault}");
+/// Prints a sample of a running experiment as a row of the table.
+fn print_sample(sample: &Sample, fault: &str) {
+    let Sample { second, connected_clients, connections, held_sessions } = sample;
+    println!("{second:>6} {connected_clients:>8} {connections:>12} {held_sessions:>8}  {fault}");
 }
 
-/// A form host is killed every 8 s, and one balancer in between.
-fn demo(seconds: u32, drafters: usize) -> Experiment {
-    let kill = |n: u32| Fault {
+/// Returns the experiment of `demo`: a server is killed every 8 s, and a balancer once.
+fn demo_experiment(seconds: u32, clients: usize) -> Experiment {
+    let kill_server = |n: u32| Fault {
         at_s: f64::from(4 + 8 * n),
-        what: What::KillHost { host: n as usize % 6, for_s: 3.0 },
+        kind: FaultKind::KillServer { server: n as usize % 6, for_s: 3.0 },
     };
-    let mut faults: Vec<_> = (0..seconds / 8).map(kill).collect();
-    faults.push(Fault { at_s: 8.0, what: What::KillBalancer { balancer: 1, for_s: 1.0 } });
+    let mut faults: Vec<_> = (0..seconds / 8).map(kill_server).collect();
+    faults.push(Fault { at_s: 8.0, kind: FaultKind::KillBalancer { balancer: 1, for_s: 1.0 } });
     Experiment {
         name: "demo".into(),
-        seconds,
+        duration_s: seconds,
         seed: 1,
         fleet: Fleet {
             balancers: 2,
-            hosts: 6,
+            servers: 6,
             zones: 2,
             capacity: 1_000,
             clock_drift_percent: 0.0,
-            late_news_ms: 1_000,
+            discovery_delay_ms: 1_000,
         },
         load: Load {
-            drafters,
-            over_s: 2.0,
-            save_every_ms: 200.0,
-            fields: 12,
+            clients,
+            arrival_s: 2.0,
+            save_interval_ms: 200.0,
+            field_count: 12,
             value_bytes: 24,
-            in_flight: 4,
-            thief_every_ms: 0.0,
+            max_unconfirmed: 4,
+            impostor_interval_ms: 0.0,
         },
-        sessions: Sessions { keepers: 3, lease_ms: 2_000, token_s: 120, rotate_keys_at_s: None },
+        sessions: Sessions { replicas: 3, lease_ms: 2_000, token_s: 120, rotate_keys_at_s: None },
         faults,
-        verdict: Vec::new(),
+        bounds: Vec::new(),
     }
 }
--- a/lab/src/matrix.rs
+++ b/lab/src/matrix.rs
@@ -1,4 +1,4 @@
-//! `marllink-lab model`: days x strategies x seeds of the fleet in virtual time, over all cores.
+//! `marllink-lab model`: simulates the fleet in virtual time for each scenario, strategy and seed, on all cores.
 
 use marllink_fleet::{ConfidenceInterval, Matrix, Metric, RunResults, Scenario, Strategy, simulate};
 use plotters::prelude::*;
@@ -7,8 +7,8 @@
 use std::path::Path;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// RunResults shown for each day and strategy, with their heads.
-const SHOWN: [(Metric, &str); 20] = [
+/// Metrics in the table of results, with their column headings.
+const TABLE_COLUMNS: [(Metric, &str); 20] = [
     (Metric::ServedRatio, "served"),
     (Metric::NetServedRatio, "net"),
     (Metric::WorstServedRatio, "worst 5s"),
@@ -31,26 +31,26 @@
     (Metric::WaitP99, "wait99"),
 ];
 
-/// One run of the matrix.
+/// The runs of one scenario under one strategy, one for each seed.
 struct Cell<'a> {
-    day: &'a Scenario,
+    scenario: &'a Scenario,
     strategy: &'a Strategy,
     runs: Vec<RunResults>,
 }
 
 impl Cell<'_> {
-    fn interval(&self, figure: Metric) -> ConfidenceInterval {
-        let of = |run: &RunResults| run.values.get(&figure).copied().unwrap_or_default();
-        ConfidenceInterval::of(&self.runs.iter().map(of).collect::<Vec<_>>())
+    fn interval(&self, metric: Metric) -> ConfidenceInterval {
+        let value_in = |run: &RunResults| run.values.get(&metric).copied().unwrap_or_default();
+        ConfidenceInterval::of(&self.runs.iter().map(value_in).collect::<Vec<_>>())
     }
 }
 
-/// Runs a matrix and prints its table; what speaks against the first strategy, in words.
+/// Runs a matrix, prints its table and writes the results. Returns the failures of the first strategy.
 ///
 /// # Errors
 /// Fails if the results can't be written.
 pub fn run(matrix: &Matrix, folder: &Path, quiet: bool) -> Result<Vec<String>, Box<dyn Error>> {
-    let cells = play_all(matrix);
+    let cells = run_all(matrix);
     let table = table(&cells);
     if !quiet {
         print!("{table}");
@@ -58,48 +58,50 @@
     std::fs::write(folder.join("matrix.json"), serde_json::to_string_pretty(matrix)?)?;
     std::fs::write(folder.join("table.txt"), table)?;
     write_figures(&folder.join("figures.csv"), &cells)?;
-    draw(&folder.join("seconds.svg"), matrix, &cells)?;
-    Ok(against(matrix, &cells))
+    write_chart(&folder.join("seconds.svg"), matrix, &cells)?;
+    Ok(failures(matrix, &cells))
 }
 
-/// Plays all of it. Which core plays what is left to chance; what comes of each run is not.
-fn play_all(matrix: &Matrix) -> Vec<Cell<'_>> {
-    let each = |day| matrix.strategies.iter().map(move |strategy| (day, strategy));
-    let kinds: Vec<(&Scenario, &Strategy)> = matrix.scenarios.iter().flat_map(each).collect();
+/// Runs the simulations of all cells, in parallel. The results of a run don't depend on the core or the order.
+fn run_all(matrix: &Matrix) -> Vec<Cell<'_>> {
+    let with_strategies = |scenario| matrix.strategies.iter().map(move |strategy| (scenario, strategy));
+    let cells: Vec<(&Scenario, &Strategy)> = matrix.scenarios.iter().flat_map(with_strategies).collect();
     let seeds = matrix.seeds as usize;
-    let next = AtomicUsize::new(0);
+    let next_run = AtomicUsize::new(0);
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
-    let mut done: Vec<(usize, RunResults)> = std::thread::scope(|scope| {
-        let work = || {
-            let mut done = Vec::new();
+    let mut finished: Vec<(usize, RunResults)> = std::thread::scope(|scope| {
+        let run_remaining = || {
+            let mut finished = Vec::new();
             loop {
-                let at = next.fetch_add(1, Ordering::Relaxed);
-                let Some((day, strategy)) = kinds.get(at / seeds) else { return done };
-                done.push((at, simulate(&matrix.shape, day, strategy, (at % seeds) as u64 + 1)));
+                let index = next_run.fetch_add(1, Ordering::Relaxed);
+                let Some((scenario, strategy)) = cells.get(index / seeds) else { return finished };
+                finished
+                    .push((index, simulate(&matrix.shape, scenario, strategy, (index % seeds) as u64 + 1)));
             }
         };
-        let workers: Vec<_> = (0..cores).map(|_| scope.spawn(work)).collect();
-        workers.into_iter().flat_map(|w| w.join().expect("a run has panicked")).collect()
+        let workers: Vec<_> = (0..cores).map(|_| scope.spawn(run_remaining)).collect();
+        workers.into_iter().flat_map(|worker| worker.join().expect("a simulation panicked")).collect()
     });
-    done.sort_by_key(|(at, _)| *at);
-    let mut done = done.into_iter().map(|(_, figures)| figures);
-    let cell = |(day, strategy)| Cell { day, strategy, runs: done.by_ref().take(seeds).collect() };
-    kinds.into_iter().map(cell).collect()
+    finished.sort_by_key(|(index, _)| *index);
+    let mut finished = finished.into_iter().map(|(_, results)| results);
+    let cell =
+        |(scenario, strategy)| Cell { scenario, strategy, runs: finished.by_ref().take(seeds).collect() };
+    cells.into_iter().map(cell).collect()
 }
 
 fn table(cells: &[Cell<'_>]) -> String {
     let mut text = format!("{:<16}{:<16}", "day", "strategy");
-    for (_, head) in SHOWN {
-        let _ = write!(text, "{head:>14}");
+    for (_, heading) in TABLE_COLUMNS {
+        let _ = write!(text, "{heading:>14}");
     }
     text.push('\n');
     for cell in cells {
-        let _ = write!(text, "{:<16}{:<16}", cell.day.name, cell.strategy.name());
-        for (figure, _) in SHOWN {
-            let ConfidenceInterval { mean, half_width, .. } = cell.interval(figure);
+        let _ = write!(text, "{:<16}{:<16}", cell.scenario.name, cell.strategy.name());
+        for (metric, _) in TABLE_COLUMNS {
+            let ConfidenceInterval { mean, half_width, .. } = cell.interval(metric);
             let digits = if mean >= 100.0 { 0 } else { 3 };
-            let shown = format!("{mean:.digits$}+-{half_width:.digits$}");
-            let _ = write!(text, "{shown:>14}");
+            let value = format!("{mean:.digits$}+-{half_width:.digits$}");
+            let _ = write!(text, "{value:>14}");
         }
         text.push('\n');
     }
@@ -107,94 +109,100 @@
 }
 
 fn write_figures(path: &Path, cells: &[Cell<'_>]) -> Result<(), Box<dyn Error>> {
-    let mut out = csv::Writer::from_path(path)?;
-    out.write_record(["day", "strategy", "seed", "figure", "value"])?;
+    let mut writer = csv::Writer::from_path(path)?;
+    writer.write_record(["day", "strategy", "seed", "figure", "value"])?;
     for cell in cells {
         for (seed, run) in cell.runs.iter().enumerate() {
-            for (figure, value) in &run.values {
-                let figure = serde_json::to_value(figure)?;
-                let figure = figure.as_str().unwrap_or_default().to_owned();
+            for (metric, value) in &run.values {
+                let metric = serde_json::to_value(metric)?;
+                let metric = metric.as_str().unwrap_or_default().to_owned();
                 let seed = (seed + 1).to_string();
                 let record =
-                    [cell.day.name.clone(), cell.strategy.name(), seed, figure, format!("{value:.6}")];
-                out.write_record(record)?;
+                    [cell.scenario.name.clone(), cell.strategy.name(), seed, metric, format!("{value:.6}")];
+                writer.write_record(record)?;
             }
         }
     }
-    out.flush()?;
+    writer.flush()?;
     Ok(())
 }
 
-/// Worth served second by second on the first seed of each day, a panel a day.
-fn draw(path: &Path, matrix: &Matrix, cells: &[Cell<'_>]) -> Result<(), Box<dyn Error>> {
+/// Draws the served ratio over time for the first seed of each scenario, in one panel for each scenario.
+fn write_chart(path: &Path, matrix: &Matrix, cells: &[Cell<'_>]) -> Result<(), Box<dyn Error>> {
     let rows = matrix.scenarios.len();
     let root = SVGBackend::new(path, (900, 170 * rows as u32)).into_drawing_area();
     root.fill(&WHITE)?;
-    for (panel, day) in root.split_evenly((rows, 1)).iter().zip(&matrix.scenarios) {
+    for (panel, scenario) in root.split_evenly((rows, 1)).iter().zip(&matrix.scenarios) {
         let mut chart = ChartBuilder::on(panel)
             .margin(8)
             .x_label_area_size(20)
             .y_label_area_size(36)
             .build_cartesian_2d(0.0..matrix.shape.duration_s, 0.0..1.05)?;
         chart.configure_mesh().y_labels(3).draw()?;
-        for (nth, cell) in cells.iter().filter(|c| c.day.name == day.name).enumerate() {
+        for (position, cell) in cells.iter().filter(|cell| cell.scenario.name == scenario.name).enumerate() {
             let Some(run) = cell.runs.first() else { continue };
-            let points = run.served_ratio_by_second.iter().enumerate().map(|(s, v)| (s as f64, *v));
-            chart.draw_series(LineSeries::new(points, &Palette99::pick(nth)))?;
+            let points =
+                run.served_ratio_by_second.iter().enumerate().map(|(second, value)| (second as f64, *value));
+            chart.draw_series(LineSeries::new(points, &Palette99::pick(position)))?;
         }
     }
     root.present()?;
     Ok(())
 }
 
-/// What speaks against the first strategy: rules broken, and bounds that do not hold on the mean.
-fn against(matrix: &Matrix, cells: &[Cell<'_>]) -> Vec<String> {
-    let first = matrix.strategies.first().map(Strategy::name);
-    let mut all = Vec::new();
-    for cell in cells.iter().filter(|c| Some(c.strategy.name()) == first) {
+/// Returns the failures of the first strategy: violated invariants, and bounds that the mean over the seeds
+/// doesn't satisfy.
+fn failures(matrix: &Matrix, cells: &[Cell<'_>]) -> Vec<String> {
+    let first_strategy = matrix.strategies.first().map(Strategy::name);
+    let mut failures = Vec::new();
+    for cell in cells.iter().filter(|cell| Some(cell.strategy.name()) == first_strategy) {
         for (seed, run) in cell.runs.iter().enumerate() {
-            if let Some(broken) = run.violations.first() {
+            if let Some(violation) = run.violations.first() {
                 let count = run.values.get(&Metric::Violations).copied().unwrap_or_default();
-                all.push(format!(
-                    "{} seed {}: {count} rules broken, first {broken}",
-                    cell.day.name,
+                failures.push(format!(
+                    "{} seed {}: {count} invariant violations; first: {violation}",
+                    cell.scenario.name,
                     seed + 1
                 ));
             }
         }
-        for bound in matrix.bounds.iter().filter(|b| b.applies_to(&cell.day.name)) {
+        for bound in matrix.bounds.iter().filter(|bound| bound.applies_to(&cell.scenario.name)) {
             let value = cell.interval(bound.metric).mean;
             if !bound.holds(value) {
-                let (figure, is) =
+                let (metric, comparison) =
                     (serde_json::to_value(bound.metric), serde_json::to_value(bound.comparison));
-                let word = |v: Result<serde_json::Value, _>| {
-                    v.ok().and_then(|v| v.as_str().map(str::to_owned)).unwrap_or_default()
+                let outer_name = |value: Result<serde_json::Value, _>| {
+                    value.ok().and_then(|value| value.as_str().map(str::to_owned)).unwrap_or_default()
                 };
-                let (figure, is, day) = (word(figure), word(is), &cell.day.name);
-                all.push(format!("{day}: {figure} is {value:.3}, wanted {is} {}", bound.limit));
+                let (metric, comparison, scenario) =
+                    (outer_name(metric), outer_name(comparison), &cell.scenario.name);
+                failures.push(format!(
+                    "{scenario}: {metric} is {value:.3}, required: {comparison} {}",
+                    bound.limit
+                ));
             }
         }
     }
-    all
+    failures
 }
 
-/// The schema of matrix files.
+/// Returns the JSON schema of matrix files.
 #[must_use]
 pub fn schema() -> serde_json::Value {
     schemars::schema_for!(Matrix).to_value()
 }
 
-/// Checks that what the days name is there.
+/// Checks that all zones and scenarios that the file refers to exist.
 ///
 /// # Errors
-/// Names the first that is not.
-pub fn sound(name: &str, matrix: &Matrix) -> Result<(), String> {
-    for (at, day) in matrix.scenarios.iter().enumerate() {
-        let zones = day.zones.unwrap_or(matrix.shape.zones);
-        if day.traffic_shares.len() > zones || day.server_shares.len() > zones {
-            return Err(format!("{name}: /days/{at}: shares for more than the {zones} zones of that day"));
+/// Returns the path of the first invalid reference, with a description.
+pub fn validate(name: &str, matrix: &Matrix) -> Result<(), String> {
+    for (index, scenario) in matrix.scenarios.iter().enumerate() {
+        let zones = scenario.zones.unwrap_or(matrix.shape.zones);
+        if scenario.traffic_shares.len() > zones || scenario.server_shares.len() > zones {
+            return Err(format!("{name}: /days/{index}: more shares than the scenario's {zones} zones"));
         }
-        for (nth, fault) in day.faults.iter().enumerate() {
+        for (position, fault) in scenario.faults.iter().enumerate() {
             use marllink_fleet::FaultKind;
             if let FaultKind::LoseZone { zone, .. }
             | FaultKind::UnresponsiveZone { zone, .. }
@@ -202,16 +210,18 @@
                 && zone >= zones
             {
                 return Err(format!(
-                    "{name}: /days/{at}/faults/{nth}/what: there is no zone {zone}; wanted: one under {zones}"
+                    "{name}: /days/{index}/faults/{position}/what: zone {zone} doesn't exist; it must be less than {zones}"
                 ));
             }
         }
     }
-    for (at, bound) in matrix.bounds.iter().enumerate() {
-        if let Some(day) =
-            bound.scenarios.iter().find(|d| !matrix.scenarios.iter().any(|day| day.name == **d))
+    for (index, bound) in matrix.bounds.iter().enumerate() {
+        if let Some(scenario) = bound
+            .scenarios
+            .iter()
+            .find(|name| !matrix.scenarios.iter().any(|scenario| scenario.name == **name))
         {
-            return Err(format!("{name}: /verdict/{at}/days: there is no day \"{day}\""));
+            return Err(format!("{name}: /verdict/{index}/days: unknown scenario \"{scenario}\""));
         }
     }
     Ok(())
--- a/lab/src/results.rs
+++ b/lab/src/results.rs
@@ -1,4 +1,4 @@
-//! What came of an experiment: figures, tables, a chart, and the verdict.
+//! Results of an experiment: figures, tables, a chart and the verdict.
 
 use crate::experiment::Experiment;
 use hdrhistogram::Histogram;
@@ -10,47 +10,48 @@
 use std::io::Write;
 use std::path::Path;
 
-/// What is seen once a second.
+/// A sample of the running experiment, taken once a second.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sample {
-    /// Which second.
+    /// Second of the run, counted from 1.
     pub second: u32,
-    /// Drafters whose connection stands.
-    pub working: usize,
-    /// Connections to form hosts.
+    /// Number of clients with an established connection.
+    pub connected_clients: usize,
+    /// Number of connections to servers.
     pub connections: usize,
-    /// Sessions that form hosts hold.
-    pub held: usize,
+    /// Number of sessions that servers hold.
+    pub held_sessions: usize,
 }
 
-/// What came of an experiment.
+/// Results of an experiment.
 pub struct Results {
     experiment: Experiment,
     entries: Vec<Entry>,
     samples: Vec<Sample>,
-    /// What the judge has found.
+    /// Result of the checker.
     pub verdict: Verdict,
-    /// Names and values.
+    /// Names and values of the figures.
     pub figures: Vec<(&'static str, f64)>,
-    /// What went wrong with the run itself.
+    /// Failures of the run itself, such as a balancer that didn't start.
     pub errors: Vec<String>,
 }
 
 impl Results {
-    /// Judges a run that has ended.
+    /// Evaluates a run that has ended. `was_interrupted` returns true if a balancer was killed or suspended in an
+    /// interval.
     #[must_use]
     pub fn new(
         experiment: &Experiment,
         entries: Vec<Entry>,
         samples: Vec<Sample>,
-        unsettled: usize,
+        unsettled_clients: usize,
         errors: Vec<String>,
-        cut: impl Fn(usize, f64, f64) -> bool,
+        was_interrupted: impl Fn(usize, f64, f64) -> bool,
     ) -> Self {
-        let verdict = check(&entries, cut);
-        let (back, cut_off) = resume_times(&entries);
-        let service = service(experiment, &samples);
-        let at = |h: &Histogram<u64>, q: f64| h.value_at_quantile(q) as f64;
+        let verdict = check(&entries, was_interrupted);
+        let (from_reconnect, from_disconnect) = resume_times(&entries);
+        let service_ratio = service_ratio(experiment, &samples);
+        let quantile = |histogram: &Histogram<u64>, q: f64| histogram.value_at_quantile(q) as f64;
         let mut figures = vec![
             ("sessions", verdict.sessions as f64),
             ("resumed", verdict.resumed as f64),
@@ -63,25 +64,25 @@
             ("answered_twice", verdict.answered_twice as f64),
             ("unanswered", verdict.unanswered as f64),
             ("given_up", verdict.abandoned_sessions as f64),
-            ("unsettled", unsettled as f64),
+            ("unsettled", unsettled_clients as f64),
         ];
         figures.extend([
-            ("back_p50_ms", at(&back, 0.5)),
-            ("back_p99_ms", at(&back, 0.99)),
-            ("back_most_ms", back.max() as f64),
-            ("cut_off_p50_ms", at(&cut_off, 0.5)),
-            ("cut_off_p99_ms", at(&cut_off, 0.99)),
-            ("cut_off_most_ms", cut_off.max() as f64),
-            ("service_after", service),
+            ("back_p50_ms", quantile(&from_reconnect, 0.5)),
+            ("back_p99_ms", quantile(&from_reconnect, 0.99)),
+            ("back_most_ms", from_reconnect.max() as f64),
+            ("cut_off_p50_ms", quantile(&from_disconnect, 0.5)),
+            ("cut_off_p99_ms", quantile(&from_disconnect, 0.99)),
+            ("cut_off_most_ms", from_disconnect.max() as f64),
+            ("service_after", service_ratio),
         ]);
         Self { experiment: experiment.clone(), entries, samples, verdict, figures, errors }
     }
 
-    /// Everything that speaks against the run, in words; nothing if it is sound.
+    /// Returns a message for each reason why the run fails; none if it passes.
     #[must_use]
-    pub fn against(&self) -> Vec<String> {
-        let mut against: Vec<_> = self.errors.clone();
-        let broken = [
+    pub fn failures(&self) -> Vec<String> {
+        let mut failures: Vec<_> = self.errors.clone();
+        let rules = [
             ("missing", "lost-field"),
             ("applied_twice", "double-apply"),
             ("out_of_order", "out-of-order"),
@@ -90,32 +91,32 @@
             ("answered_twice", "answered-twice"),
             ("unanswered", "unanswered"),
         ];
-        for (name, rule) in broken {
+        for (name, rule) in rules {
             let count = self.figure(name).unwrap_or(f64::NAN);
             if count != 0.0 {
-                against.push(format!("{rule}: {name} is {count}"));
+                failures.push(format!("{rule}: {name} is {count}"));
             }
         }
-        for bound in &self.experiment.verdict {
+        for bound in &self.experiment.bounds {
             match self.figure(&bound.figure) {
-                None => against.push(format!("there is no figure \"{}\"", bound.figure)),
+                None => failures.push(format!("unknown figure \"{}\" in a bound", bound.figure)),
                 Some(figure) if !bound.holds(figure) => {
-                    against.push(format!(
-                        "{} is {figure:.2}, bound {:?} {}",
-                        bound.figure, bound.is, bound.bound
+                    failures.push(format!(
+                        "{} is {figure:.2}, required: {:?} {}",
+                        bound.figure, bound.comparison, bound.limit
                     ));
                 }
                 Some(_) => {}
             }
         }
-        against
+        failures
     }
 
     fn figure(&self, name: &str) -> Option<f64> {
         self.figures.iter().find(|(n, _)| *n == name).map(|(_, value)| *value)
     }
 
-    /// Writes the experiment as run, what was written down, the tables, the chart and the verdict.
+    /// Writes the experiment, the recorded events, the tables, the chart and the verdict.
     ///
     /// # Errors
     /// Fails if a file can't be written.
@@ -136,76 +137,86 @@
         figures.flush()?;
         let mut seconds = csv::Writer::from_path(folder.join("seconds.csv"))?;
         seconds.write_record(["second", "working", "connections", "held"])?;
-        for Sample { second, working, connections, held } in &self.samples {
-            let row = [*second as usize, *working, *connections, *held].map(|n| n.to_string());
+        for Sample { second, connected_clients, connections, held_sessions } in &self.samples {
+            let row =
+                [*second as usize, *connected_clients, *connections, *held_sessions].map(|n| n.to_string());
             seconds.write_record(row)?;
         }
         seconds.flush()?;
-        let against = self.against();
-        let verdict = if against.is_empty() { "kept".into() } else { against.join("\n") };
+        let failures = self.failures();
+        let verdict = if failures.is_empty() { "kept".into() } else { failures.join("\n") };
         std::fs::write(folder.join("verdict.txt"), verdict + "\n" + &self.verdict.findings.join("\n"))?;
         self.chart(&folder.join("working.svg"))
     }
 
-    /// Who works, over time, with the faults.
+    /// Draws the number of connected clients over time, with the faults.
     fn chart(&self, file: &Path) -> Result<(), Box<dyn Error>> {
         let root = SVGBackend::new(file, (960, 400)).into_drawing_area();
         root.fill(&WHITE)?;
-        let most = self.experiment.load.drafters.max(1) as f64;
+        let client_count = self.experiment.load.clients.max(1) as f64;
         let mut chart = ChartBuilder::on(&root)
             .margin(16)
-            .caption(format!("{}: drafters at work", self.experiment.name), ("sans-serif", 16))
+            .caption(format!("{}: connected clients", self.experiment.name), ("sans-serif", 16))
             .x_label_area_size(32)
             .y_label_area_size(56)
-            .build_cartesian_2d(0.0..f64::from(self.experiment.seconds), 0.0..most * 1.05)?;
-        chart.configure_mesh().x_desc("seconds").y_desc("drafters").draw()?;
+            .build_cartesian_2d(0.0..f64::from(self.experiment.duration_s), 0.0..client_count * 1.05)?;
+        chart.configure_mesh().x_desc("seconds").y_desc("clients").draw()?;
         for fault in &self.experiment.faults {
-            let line = [(fault.at_s, 0.0), (fault.at_s, most)];
+            let line = [(fault.at_s, 0.0), (fault.at_s, client_count)];
             chart.draw_series(LineSeries::new(line, RED.mix(0.35)))?;
         }
-        let line = self.samples.iter().map(|s| (f64::from(s.second), s.working as f64));
+        let line =
+            self.samples.iter().map(|sample| (f64::from(sample.second), sample.connected_clients as f64));
         chart.draw_series(LineSeries::new(line, BLUE.stroke_width(2)))?;
         root.present()?;
         Ok(())
     }
 }
 
-/// How long it took until a drafter that was cut off had its session again: from when it was back, and
-/// from when it was cut off. In milliseconds.
+/// Returns how long disconnected clients took to resume their sessions, in milliseconds: from the reconnect, and
+/// from the end of the old connection.
 fn resume_times(entries: &[Entry]) -> (Histogram<u64>, Histogram<u64>) {
-    let histogram = || Histogram::<u64>::new_with_bounds(1, 600_000, 3).expect("the bounds are sound");
-    let (mut back, mut cut_off) = (histogram(), histogram());
-    let mut since: HashMap<&str, (f64, Option<f64>)> = HashMap::new();
+    let histogram = || Histogram::<u64>::new_with_bounds(1, 600_000, 3).expect("the bounds are valid");
+    let (mut from_reconnect, mut from_disconnect) = (histogram(), histogram());
+    let mut disconnects: HashMap<&str, (f64, Option<f64>)> = HashMap::new();
     for entry in entries {
-        let by = entry.by.as_str();
+        let client = entry.by.as_str();
         match &entry.note {
-            Note::ConnectionEnded { .. } => _ = since.insert(by, (entry.at, None)),
+            Note::ConnectionEnded { .. } => _ = disconnects.insert(client, (entry.at, None)),
             Note::OpenSent { .. } => {
-                if let Some((_, asked)) = since.get_mut(by) {
-                    asked.get_or_insert(entry.at);
+                if let Some((_, reconnected_at)) = disconnects.get_mut(client) {
+                    reconnected_at.get_or_insert(entry.at);
                 }
             }
             Note::Answered { word, .. } if word == "UP" => {
-                if let Some((ended, Some(asked))) = since.remove(by) {
-                    // What is longer than the bounds counts as the bound.
-                    back.saturating_record((entry.at - asked).ceil() as u64);
-                    cut_off.saturating_record((entry.at - ended).ceil() as u64);
+                if let Some((ended_at, Some(reconnected_at))) = disconnects.remove(client) {
+                    // Values above the histogram's bounds count as the upper bound.
+                    from_reconnect.saturating_record((entry.at - reconnected_at).ceil() as u64);
+                    from_disconnect.saturating_record((entry.at - ended_at).ceil() as u64);
                 }
             }
             _ => {}
         }
     }
-    (back, cut_off)
+    (from_reconnect, from_disconnect)
 }
 
-/// Drafters at work in the last fifth of the run, over those before the first fault.
-fn service(experiment: &Experiment, samples: &[Sample]) -> f64 {
-    let first = experiment.faults.iter().map(|f| f.at_s).fold(f64::from(experiment.seconds), f64::min);
-    let mean = |wanted: &dyn Fn(&Sample) -> bool| {
-        let all: Vec<_> = samples.iter().filter(|s| wanted(s)).map(|s| s.working as f64).collect();
-        all.iter().sum::<f64>() / all.len().max(1) as f64
+/// Returns the mean number of connected clients in the last fifth of the run, as a ratio to the mean of the 3 s
+/// before the first fault.
+fn service_ratio(experiment: &Experiment, samples: &[Sample]) -> f64 {
+    let first_fault_s =
+        experiment.faults.iter().map(|fault| fault.at_s).fold(f64::from(experiment.duration_s), f64::min);
+    let mean = |selects: &dyn Fn(&Sample) -> bool| {
+        let values: Vec<_> = samples
+            .iter()
+            .filter(|sample| selects(sample))
+            .map(|sample| sample.connected_clients as f64)
+            .collect();
+        values.iter().sum::<f64>() / values.len().max(1) as f64
     };
-    let before = mean(&|s| f64::from(s.second) <= first && f64::from(s.second) > first - 3.0);
-    let after = mean(&|s| f64::from(s.second) > f64::from(experiment.seconds) * 0.8);
+    let before = mean(&|sample| {
+        f64::from(sample.second) <= first_fault_s && f64::from(sample.second) > first_fault_s - 3.0
+    });
+    let after = mean(&|sample| f64::from(sample.second) > f64::from(experiment.duration_s) * 0.8);
     after / before.max(1.0)
 }
--- a/lab/src/soak/mod.rs
+++ b/lab/src/soak/mod.rs
@@ -1,9 +1,10 @@
-//! `marllink-lab soak`: many real processes under faults that follow from a seed, judged by what clients,
-//! servers and discovery wrote down.
+//! `marllink-lab soak`: runs many real processes under randomly drawn faults, and checks the protocol rules against
+//! the notes of clients, servers and discovery.
 //!
-//! [`scenario`] draws what is played, [`player`] plays it, [`verdict`] judges it and writes it out.
+//! [`scenario`] draws a scenario from a seed, [`runner`] runs it, and [`verdict`] evaluates the notes and writes the
+//! results.
 
-mod player;
+mod runner;
 mod scenario;
 mod verdict;
 
@@ -14,100 +15,104 @@
 use std::path::{Path, PathBuf};
 use verdict::Verdict;
 
-/// What to play.
+/// Options of the runs.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The seeds, one run each.
+    /// Seeds, one for each run.
     pub seeds: RangeInclusive<u64>,
-    /// Balancers in each run.
+    /// Number of balancers in each run.
     pub processes: usize,
-    /// How long each run lasts, in seconds.
+    /// Time over which clients arrive in each run, in seconds.
     pub seconds: f64,
-    /// One kind of faults alone.
+    /// Injects only this kind of faults.
     pub only: Option<FaultKind>,
-    /// A bug to plant.
-    pub plant: Option<Plant>,
-    /// Whether a fault that was planned and never fired fails the run. Short runs may be too short for some.
+    /// Bug to inject.
+    pub injected_bug: Option<InjectedBug>,
+    /// Fails the run if a planned fault never fires. Some faults may not fire in short runs.
     pub all_must_fire: bool,
-    /// Where the folders of the runs go.
-    pub out: PathBuf,
+    /// Folder in which the folders of the runs are created.
+    pub results_folder: PathBuf,
 }
 
-/// A bug that is planted in all processes, and has to be found.
+/// A bug that is injected into all processes and must be found. Each is simulated by system calls that behave
+/// accordingly.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
-pub enum Plant {
-    /// A line to a client is written twice.
+pub enum InjectedBug {
+    /// A line is written twice.
     SecondAnswer,
-    /// An attempt is held back until its client may have left.
+    /// An attempt is delayed until its client may have left.
     LateAttempt,
-    /// An interrupted read is taken for the end of the connection.
+    /// An interrupted read is handled as the end of the connection.
     EintrIsEnd,
-    /// A short write is taken for a whole one.
+    /// A short write is handled as a complete one.
     ShortWriteIsWhole,
 }
 
-/// Plays all seeds; true if no rule was broken and, where that is asked for, every fault that was planned has fired.
+/// Runs all seeds. Returns true if no rule was violated and, with `all_must_fire`, all planned faults have fired.
 ///
 /// # Errors
-/// Fails if a run can't be made.
+/// Fails if a scenario can't be run.
 pub fn run(options: &Options) -> Result<bool, String> {
-    let shim = shim()?;
+    let shim = shim_path()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| e.to_string())?;
-    let mut kept = true;
+    let mut passed = true;
     let mut fired = BTreeMap::<String, usize>::new();
     for seed in options.seeds.clone() {
         let scenario = Scenario::draw(seed, options);
-        let folder = crate::balancers::folder(&options.out, &format!("soak-{seed}"));
-        let folder = folder.map_err(|e| format!("{}: {e}", options.out.display()))?;
-        let playing = player::play(&scenario, &shim, &folder);
-        let record = tokio::task::LocalSet::new().block_on(&runtime, playing);
+        let folder =
+            crate::balancers::create_results_folder(&options.results_folder, &format!("soak-{seed}"));
+        let folder = folder.map_err(|e| format!("{}: {e}", options.results_folder.display()))?;
+        let running = runner::run_scenario(&scenario, &shim, &folder);
+        let record = tokio::task::LocalSet::new().block_on(&runtime, running);
         let record = record.map_err(|e| format!("seed {seed}: {e}"))?;
-        let verdict = Verdict::of(&scenario, &record);
+        let verdict = Verdict::evaluate(&scenario, &record);
         verdict.write(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
         println!("{}", verdict.summary());
-        if let Some(first) = verdict.broken.first() {
+        if let Some(first) = verdict.violations.first() {
             println!(
-                "  BROKEN, {} times: {first}; again with: {}",
-                verdict.broken.len(),
-                again(seed, options)
+                "  BROKEN, {} violations, first: {first}; replay with: {}",
+                verdict.violations.len(),
+                replay_command(seed, options)
             );
         }
         verdict.late.iter().take(3).for_each(|late| println!("  late: {late}"));
-        kept &= verdict.broken.is_empty();
+        passed &= verdict.violations.is_empty();
         for (fault, count) in verdict.fired {
             *fired.entry(fault).or_default() += count;
         }
     }
-    let all_fired = report_fired(&fired);
-    Ok(kept && (all_fired || !options.all_must_fire))
+    let all_fired = report_fired_faults(&fired);
+    Ok(passed && (all_fired || !options.all_must_fire))
 }
 
-/// The library that makes system calls fail lies beside this program.
-fn shim() -> Result<PathBuf, String> {
+/// Returns the path of the library that injects faults into system calls. It is expected next to this program.
+fn shim_path() -> Result<PathBuf, String> {
     let program = std::env::current_exe().map_err(|e| e.to_string())?;
     let shim = program.with_file_name("libmarllink_shim.so");
     if shim.exists() {
         Ok(shim)
     } else {
-        Err(format!("{} is missing; build it with cargo build -p marllink-shim", shim.display()))
+        Err(format!("{} is missing; build it with `cargo build -p marllink-shim`", shim.display()))
     }
 }
 
-fn again(seed: u64, options: &Options) -> String {
+/// Returns the command that runs a seed again.
+fn replay_command(seed: u64, options: &Options) -> String {
     let Options { processes, seconds, .. } = options;
     format!("marllink-lab soak --replay {seed} --processes {processes} --seconds {seconds}")
 }
 
-/// Prints how often each fault has fired; false if one never did.
-fn report_fired(fired: &BTreeMap<String, usize>) -> bool {
-    let shown: Vec<_> = fired.iter().map(|(fault, count)| format!("{fault} {count}")).collect();
-    println!("faults fired: {}", if shown.is_empty() { "none".into() } else { shown.join(", ") });
-    let never: Vec<_> = fired.iter().filter(|(_, count)| **count == 0).map(|(fault, _)| &**fault).collect();
-    if !never.is_empty() {
-        println!("planned and never fired: {}", never.join(", "));
+/// Prints how often each fault has fired. Returns false if one has never fired.
+fn report_fired_faults(fired: &BTreeMap<String, usize>) -> bool {
+    let counts: Vec<_> = fired.iter().map(|(fault, count)| format!("{fault} {count}")).collect();
+    println!("faults fired: {}", if counts.is_empty() { "none".into() } else { counts.join(", ") });
+    let never_fired: Vec<_> =
+        fired.iter().filter(|(_, count)| **count == 0).map(|(fault, _)| &**fault).collect();
+    if !never_fired.is_empty() {
+        println!("planned, but never fired: {}", never_fired.join(", "));
     }
-    never.is_empty()
+    never_fired.is_empty()
 }
 
 /// Writes lines to a file.
--- a/lab/src/soak/scenario.rs
+++ b/lab/src/soak/scenario.rs
@@ -1,6 +1,6 @@
-//! What a seed stands for: a deployment, its load, and a timeline of faults.
+//! Scenarios drawn from a seed: a deployment, its load and a timeline of faults.
 
-use super::{Options, Plant};
+use super::{InjectedBug, Options};
 use marllink_emulator::platform::rules::Rules;
 use marllink_emulator::platform::{ClientClass, ServerBehavior};
 use rand::rngs::SmallRng;
@@ -8,89 +8,91 @@
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
 
-/// Attempts for a request at most.
-const ATTEMPTS: usize = 4;
-/// A server may be sent to for so long after it was told as draining.
-const GRACE_MS: f64 = 500.0;
-/// Clients honour no longer advice.
-const ADVICE_MS: f64 = 1_000.0;
-/// Faults begin so long after the first client ...
+/// Maximum number of attempts for a request.
+const MAX_ATTEMPTS: usize = 4;
+/// Time for which requests may still be sent to a server after discovery listed it as draining, in milliseconds.
+const DRAIN_GRACE_MS: f64 = 500.0;
+/// Maximum delay that a `BUSY` line may ask clients to wait before a retry, in milliseconds.
+const MAX_RETRY_AFTER_MS: f64 = 1_000.0;
+/// Earliest time of a fault, in milliseconds after the first client.
 const FIRST_FAULT_MS: f64 = 400.0;
-/// ... and none so late that a restarted process would not be back before the end.
+/// Latest time of a fault, in milliseconds after the first client. A process that restarts later wouldn't be running
+/// again before the end.
 const LAST_FAULT_MS: f64 = 4_500.0;
-/// One process is held up for so long at most: no longer one is within the terms.
-const LONGEST_HOLD_MS: f64 = 150.0;
-/// So many kinds of failing calls are in force in one run.
-const CALL_FAULTS: usize = 6;
+/// Maximum time for which a process is suspended, in milliseconds. The rules allow no longer pause.
+const MAX_HOLD_MS: f64 = 150.0;
+/// Number of system call faults in a run.
+const CALL_FAULT_COUNT: usize = 6;
 
-/// A family of faults.
+/// The kinds of faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum FaultKind {
     /// Signals, restarts and upgrades.
     Signals,
-    /// Servers that reject, err, hang, break off or are slow.
+    /// Servers that reject or fail requests, are unresponsive or slow, or reset connections.
     Servers,
-    /// Discovery that tells of drains, or is down.
+    /// Drains of servers, and outages of discovery.
     Discovery,
     /// System calls that fail.
     Calls,
 }
 
-/// Something that happens to one process, or to what it deals with.
+/// A fault of a process, a server or discovery. Processes and servers are numbered from 0.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// SIGTERM, SIGKILL as early as it may come, and a start.
+    /// SIGTERM, SIGKILL at the earliest time that is allowed, and a start.
     Restart(usize),
-    /// SIGTERM, and SIGHUP right after it.
+    /// The same with a SIGHUP right after SIGTERM.
     RestartWithReload(usize),
-    /// SIGTERM to all of an even number.
+    /// Restarts of all processes with an even number at the same time.
     RestartHalf,
-    /// Several SIGHUP in a row.
+    /// A number of SIGHUP in a row.
     Reloads(usize, u32),
-    /// SIGSTOP for so many ms.
+    /// SIGSTOP for this time, in milliseconds.
     Hold(usize, f64),
-    /// SIGKILL, and a start.
+    /// SIGKILL and a start.
     Kill(usize),
-    /// Another process takes the place of this one.
+    /// An upgrade: a new process takes over from the running one.
     Upgrade(usize),
-    /// The old process is killed while an upgrade is under way.
+    /// An upgrade during which the old process is killed.
     KilledUpgrade(usize),
-    /// A server behaves so from now on.
+    /// A server changes its behavior.
     Behave(usize, ServerBehavior),
-    /// A server is told as draining, and serves again after so many ms.
+    /// A server is listed as draining for this time, in milliseconds.
     Drain(usize, f64),
-    /// Discovery is down for so many ms.
+    /// Discovery is down for this time, in milliseconds.
     DiscoveryDown(f64),
 }
 
-/// What is played.
+/// A scenario: a deployment, its clients and its faults.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// It follows from this, and from what was asked for.
+    /// Seed that the scenario is drawn from, together with the options.
     pub seed: u64,
-    /// Balancers.
+    /// Number of balancers.
     pub processes: usize,
-    /// Servers.
+    /// Number of servers.
     pub servers: usize,
-    /// How long clients come, in milliseconds.
+    /// Time over which clients arrive, in milliseconds.
     pub lasts_ms: f64,
-    /// Whether lists are pushed.
+    /// True if discovery pushes lists; false if it is polled.
     pub pushed: bool,
-    /// Classes, and which of them must not run twice.
+    /// Classes of requests.
     pub classes: Vec<ClientClass>,
+    /// For each class, true if its requests must not run twice.
     once: Vec<bool>,
-    /// Clients in all.
+    /// Total number of clients.
     pub clients: usize,
-    /// Faults by their time in milliseconds.
+    /// Faults in order of time, with their time in milliseconds.
     pub timeline: Vec<(f64, Fault)>,
-    /// Calls that fail, as the shim's rules.
+    /// System call faults, as rules of the shim.
     pub calls: Vec<String>,
-    /// Whether each process keeps its list on disk.
+    /// True if each process stores its server list on disk.
     pub stores: bool,
 }
 
-/// Failing calls that a sound program survives.
-const CALLS: [&str; 22] = [
+/// System call faults that a correct program tolerates.
+const CALL_FAULTS: [&str; 22] = [
     "accept=ECONNABORTED%30",
     "accept=EMFILE%40",
     "accept=ENFILE%40",
@@ -114,64 +116,64 @@
     "shutdown=EINTR%9",
     "clock=STEP:3600000%2",
 ];
-/// Failing calls on the disk, for processes with a store.
-const DISK_CALLS: [&str; 4] =
+/// System call faults on the disk, for processes with a store.
+const DISK_CALL_FAULTS: [&str; 4] =
     ["write=ENOSPC@state.log%3", "write=EIO@state.log%3", "write=SHORT@state.log%2", "fsync=EIO%3"];
 
 impl Scenario {
-    /// The one of a seed.
+    /// Draws the scenario of a seed.
     pub fn draw(seed: u64, options: &Options) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let processes = options.processes;
         let servers = rng.random_range(4..=8);
         let lasts_ms = options.seconds * 1_000.0;
         let once = vec![false, rng.random()];
-        let short = [300.0, 500.0, 900.0, 1_500.0, 3_000.0][rng.random_range(0..5)];
+        let short_wait_ms = [300.0, 500.0, 900.0, 1_500.0, 3_000.0][rng.random_range(0..5)];
         let class = |number: u8, name: &str, wait_ms| ClientClass { number, name: name.into(), wait_ms };
-        let classes = vec![class(0, "watch", short), class(1, "file", 2.0 * short)];
+        let classes = vec![class(0, "watch", short_wait_ms), class(1, "file", 2.0 * short_wait_ms)];
         let pushed = rng.random();
         let stores = rng.random();
-        let wants = |kind| options.only.is_none_or(|only| only == kind);
-        let mut calls = draw_calls(&mut rng, stores);
-        if !wants(FaultKind::Calls) {
+        let is_selected = |kind| options.only.is_none_or(|only| only == kind);
+        let mut calls = draw_call_faults(&mut rng, stores);
+        if !is_selected(FaultKind::Calls) {
             calls.clear();
         }
-        if let Some(plant) = options.plant {
-            // Nothing else may be what is found.
-            calls = vec![plan_of(plant)];
+        if let Some(injected_bug) = options.injected_bug {
+            // Other faults are left out, so that a violation is due to the bug.
+            calls = vec![call_fault_of(injected_bug)];
         }
         let mut timeline = Vec::new();
-        if wants(FaultKind::Signals) {
-            timeline.extend(signals(&mut rng, processes));
+        if is_selected(FaultKind::Signals) {
+            timeline.extend(draw_signals(&mut rng, processes));
         }
-        if wants(FaultKind::Servers) {
-            timeline.extend(server_faults(&mut rng, servers));
+        if is_selected(FaultKind::Servers) {
+            timeline.extend(draw_server_faults(&mut rng, servers));
         }
-        if wants(FaultKind::Discovery) {
-            timeline.extend(discovery_faults(&mut rng, servers));
+        if is_selected(FaultKind::Discovery) {
+            timeline.extend(draw_discovery_faults(&mut rng, servers));
         }
         timeline.sort_by(|a, b| a.0.total_cmp(&b.0));
         let clients = (processes as f64 * options.seconds * 4.0) as usize;
         Self { seed, processes, servers, lasts_ms, pushed, classes, once, clients, timeline, calls, stores }
     }
 
-    /// The rules of this deployment.
+    /// Returns the protocol rules of the deployment.
     pub fn rules(&self) -> Rules {
         Rules {
-            max_attempts: ATTEMPTS,
-            drain_grace_ms: GRACE_MS,
-            max_retry_after_ms: Some(ADVICE_MS),
+            max_attempts: MAX_ATTEMPTS,
+            drain_grace_ms: DRAIN_GRACE_MS,
+            max_retry_after_ms: Some(MAX_RETRY_AFTER_MS),
             non_idempotent: self.once.clone(),
         }
     }
 
-    /// SIGKILL comes so long after SIGTERM.
-    pub fn killed_after_ms(&self) -> f64 {
-        let longest = self.classes.iter().map(|class| class.wait_ms).fold(0.0, f64::max);
-        longest.min(3_000.0) + 700.0
+    /// Returns the time from SIGTERM to SIGKILL, in milliseconds.
+    pub fn kill_delay_ms(&self) -> f64 {
+        let max_wait_ms = self.classes.iter().map(|class| class.wait_ms).fold(0.0, f64::max);
+        max_wait_ms.min(3_000.0) + 700.0
     }
 
-    /// The settings of one process.
+    /// Returns the settings of a process.
     pub fn settings(&self, process: usize) -> Value {
         let class = |class: &ClientClass| {
             let once = self.once[usize::from(class.number)];
@@ -184,42 +186,46 @@
             "classes": self.classes.iter().map(class).collect::<Vec<_>>(),
             "specifics": {"mode": "proxy", "messageAimMs": [500.0, 500.0], "groups": false, "tellsDelay": false},
             "loadReport": {"how": "off", "fields": []},
-            "bounds": {"connectTimeoutMs": 100.0, "maxAttempts": ATTEMPTS, "mayCancel": true, "mayProbe": true,
-                "retryAfter": true, "maxRetryAfterMs": ADVICE_MS},
+            "bounds": {"connectTimeoutMs": 100.0, "maxAttempts": MAX_ATTEMPTS, "mayCancel": true, "mayProbe": true,
+                "retryAfter": true, "maxRetryAfterMs": MAX_RETRY_AFTER_MS},
             "invariants": {"askWithinMs": 3000.0, "coldFrom": 0.3, "warmAfterMs": 3000.0, "tipMultiple": 3.0,
-                "overloadForMs": 3000.0, "drainGraceMs": GRACE_MS},
+                "overloadForMs": 3000.0, "drainGraceMs": DRAIN_GRACE_MS},
             "prices": {"crossZone": 0.0, "moves": 0.01, "probe": 0.001, "lateFail": 0.03}
         })
     }
 }
 
-fn draw_calls(rng: &mut SmallRng, stores: bool) -> Vec<String> {
-    let mut calls: Vec<_> = CALLS.choose_multiple(rng, CALL_FAULTS).map(|call| (*call).to_owned()).collect();
+fn draw_call_faults(rng: &mut SmallRng, stores: bool) -> Vec<String> {
+    let mut calls: Vec<_> =
+        CALL_FAULTS.choose_multiple(rng, CALL_FAULT_COUNT).map(|call| (*call).to_owned()).collect();
     if stores {
-        calls.extend(DISK_CALLS.choose(rng).map(|call| (*call).to_owned()));
+        calls.extend(DISK_CALL_FAULTS.choose(rng).map(|call| (*call).to_owned()));
     }
     calls
 }
 
-fn plan_of(plant: Plant) -> String {
-    match plant {
-        Plant::SecondAnswer => "send=TWICE%5",
-        Plant::LateAttempt => "send=HOLD:500%4",
-        Plant::EintrIsEnd => "recv=END%15",
-        Plant::ShortWriteIsWhole => "send=WHOLE%12",
+/// Returns the system call fault that simulates a bug.
+fn call_fault_of(injected_bug: InjectedBug) -> String {
+    match injected_bug {
+        InjectedBug::SecondAnswer => "send=TWICE%5",
+        InjectedBug::LateAttempt => "send=HOLD:500%4",
+        InjectedBug::EintrIsEnd => "recv=END%15",
+        InjectedBug::ShortWriteIsWhole => "send=WHOLE%12",
     }
     .into()
 }
 
-fn any_time(rng: &mut SmallRng) -> f64 {
+/// Draws the time of a fault, in milliseconds.
+fn draw_time(rng: &mut SmallRng) -> f64 {
     rng.random_range(FIRST_FAULT_MS..LAST_FAULT_MS)
 }
 
-/// Each process meets one of these, and is held up now and then.
-fn signals(rng: &mut SmallRng, processes: usize) -> Vec<(f64, Fault)> {
+/// Draws one restart, kill, upgrade or series of reloads for each process, and a suspension soon after it. In one of
+/// four scenarios, half of the processes restart at the same time instead.
+fn draw_signals(rng: &mut SmallRng, processes: usize) -> Vec<(f64, Fault)> {
     let mut faults = Vec::new();
     if rng.random_ratio(1, 4) {
-        faults.push((any_time(rng), Fault::RestartHalf));
+        faults.push((draw_time(rng), Fault::RestartHalf));
         return faults;
     }
     for process in 0..processes {
@@ -231,17 +237,17 @@
             5 => Fault::Upgrade(process),
             _ => Fault::KilledUpgrade(process),
         };
-        let at = any_time(rng);
+        let at = draw_time(rng);
         faults.push((at, fault));
-        let hold = Fault::Hold(process, rng.random_range(20.0..LONGEST_HOLD_MS));
+        let hold = Fault::Hold(process, rng.random_range(20.0..MAX_HOLD_MS));
         faults.push((at + rng.random_range(10.0..300.0), hold));
     }
     faults
 }
 
-/// Half of the servers misbehave for a while, one way after another.
-fn server_faults(rng: &mut SmallRng, servers: usize) -> Vec<(f64, Fault)> {
-    let manners = [
+/// Draws two periods of misbehavior for each of the first half of the servers.
+fn draw_server_faults(rng: &mut SmallRng, servers: usize) -> Vec<(f64, Fault)> {
+    let behaviors = [
         ServerBehavior::Busy,
         ServerBehavior::Errs,
         ServerBehavior::Resets,
@@ -253,9 +259,9 @@
     let mut faults = Vec::new();
     for server in 0..servers / 2 {
         for _ in 0..2 {
-            let at = any_time(rng);
-            let manner = *manners.choose(rng).expect("there are some");
-            faults.push((at, Fault::Behave(server, manner)));
+            let at = draw_time(rng);
+            let behavior = *behaviors.choose(rng).expect("the list is not empty");
+            faults.push((at, Fault::Behave(server, behavior)));
             faults
                 .push((at + rng.random_range(200.0..1_200.0), Fault::Behave(server, ServerBehavior::Serves)));
         }
@@ -263,17 +269,17 @@
     faults
 }
 
-/// Some servers drain, and discovery is down once.
-fn discovery_faults(rng: &mut SmallRng, servers: usize) -> Vec<(f64, Fault)> {
+/// Draws drains of two of the other servers, and in half of the scenarios an outage of discovery.
+fn draw_discovery_faults(rng: &mut SmallRng, servers: usize) -> Vec<(f64, Fault)> {
     let mut draining: Vec<_> = (servers / 2..servers).collect();
     draining.shuffle(rng);
     draining.truncate(2);
     let mut faults: Vec<_> = draining
         .into_iter()
-        .map(|server| (any_time(rng), Fault::Drain(server, rng.random_range(600.0..1_500.0))))
+        .map(|server| (draw_time(rng), Fault::Drain(server, rng.random_range(600.0..1_500.0))))
         .collect();
     if rng.random() {
-        faults.push((any_time(rng), Fault::DiscoveryDown(rng.random_range(300.0..1_500.0))));
+        faults.push((draw_time(rng), Fault::DiscoveryDown(rng.random_range(300.0..1_500.0))));
     }
     faults
 }
--- a/lab/src/soak/verdict.rs
+++ b/lab/src/soak/verdict.rs
@@ -1,6 +1,6 @@
-//! Judges a run by what was written down, and writes that out in one file by time.
+//! Checks the notes of a run against the protocol rules, and writes all events in order of time.
 
-use super::player::Record;
+use super::runner::Record;
 use super::scenario::Scenario;
 use super::write_lines;
 use marllink_emulator::platform::rules::{Findings, check};
@@ -9,93 +9,95 @@
 use std::io;
 use std::path::Path;
 
-/// All that is written down in one run, by time.
-const EVENTS: &str = "events.txt";
+/// File with all events of a run, in order of time.
+const EVENTS_FILE: &str = "events.txt";
 
-/// What came of a run.
+/// Results of a run.
 pub struct Verdict {
     seed: u64,
     processes: usize,
-    asked: usize,
+    requests: usize,
     served: usize,
-    sent: usize,
-    /// Rules that were broken, in words.
-    pub broken: Vec<String>,
-    /// Bounds on time that were exceeded: a loaded machine, or a fault.
+    attempts: usize,
+    /// Messages for violated rules.
+    pub violations: Vec<String>,
+    /// Messages for exceeded time limits, which may be caused by load on this machine.
     pub late: Vec<String>,
-    /// How often each fault has fired.
+    /// Number of times that each fault has fired.
     pub fired: BTreeMap<String, usize>,
     events: Vec<(f64, String)>,
 }
 
 impl Verdict {
-    /// Judges each process by its own clients, by its own discovery, and by what servers had from it.
-    pub fn of(scenario: &Scenario, record: &Record) -> Self {
+    /// Checks each process against the notes of its own clients, its own discovery agent, and the servers that it
+    /// sent requests to.
+    pub fn evaluate(scenario: &Scenario, record: &Record) -> Self {
         let mut verdict = Self {
             seed: scenario.seed,
             processes: scenario.processes,
-            asked: 0,
+            requests: 0,
             served: 0,
-            sent: 0,
-            broken: record.findings.clone(),
-            late: record.late.clone(),
-            fired: record.fired.clone(),
+            attempts: 0,
+            violations: record.findings.clone(),
+            late: record.slow_starts.clone(),
+            fired: record.fired_faults.clone(),
             events: events(scenario, record),
         };
-        let mut of_process = record.told.clone();
+        let mut notes_by_process = record.process_notes.clone();
         for (at, note) in &record.notes {
             let process = note.request().map_or(usize::MAX, |id| (id >> PROCESS_SHIFT) as usize);
-            match of_process.get_mut(process) {
-                Some(own) => own.push((*at, note.clone())),
-                None => verdict.broken.push(format!("{at:.0} ms: nobody's {note:?}")),
+            match notes_by_process.get_mut(process) {
+                Some(notes) => notes.push((*at, note.clone())),
+                None => verdict.violations.push(format!("{at:.0} ms: note without a process: {note:?}")),
             }
         }
-        for (process, mut own) in of_process.into_iter().enumerate() {
-            own.sort_by(|a, b| a.0.total_cmp(&b.0));
-            verdict.add(process, check(&own, &scenario.rules()));
+        for (process, mut notes) in notes_by_process.into_iter().enumerate() {
+            notes.sort_by(|a, b| a.0.total_cmp(&b.0));
+            verdict.add(process, check(&notes, &scenario.rules()));
         }
         verdict
     }
 
-    fn add(&mut self, process: usize, found: Findings) {
-        self.asked += found.requests;
-        self.served += found.served;
-        self.sent += found.attempts;
-        self.broken.extend(found.violations.iter().map(|broken| format!("b{process}: {broken}")));
-        self.late.extend(found.late.iter().map(|late| format!("b{process}: {late}")));
+    fn add(&mut self, process: usize, findings: Findings) {
+        self.requests += findings.requests;
+        self.served += findings.served;
+        self.attempts += findings.attempts;
+        self.violations
+            .extend(findings.violations.iter().map(|violation| format!("b{process}: {violation}")));
+        self.late.extend(findings.late.iter().map(|late| format!("b{process}: {late}")));
     }
 
-    /// One line.
+    /// Returns a summary of one line.
     pub fn summary(&self) -> String {
-        let Self { seed, processes, asked, served, sent, broken, late, .. } = self;
-        let word = if broken.is_empty() { "kept" } else { "BROKEN" };
+        let Self { seed, processes, requests, served, attempts, violations, late, .. } = self;
+        let word = if violations.is_empty() { "kept" } else { "BROKEN" };
         let late = late.len();
         format!(
-            "seed {seed}: {word}; {processes} processes, {asked} asked, {served} served, {sent} sent, {late} late"
+            "seed {seed}: {word}; {processes} processes, {requests} requests, {served} served, {attempts} attempts, {late} late"
         )
     }
 
     /// Writes the events and the findings.
     ///
     /// # Errors
-    /// Fails as the disk has it.
+    /// Fails if a file can't be written.
     pub fn write(&self, folder: &Path) -> io::Result<()> {
         let events = self.events.iter().map(|(at, event)| format!("{at:10.1} {event}"));
-        write_lines(&folder.join(EVENTS), events)?;
-        write_lines(&folder.join("broken.txt"), self.broken.iter().chain(&self.late).cloned())
+        write_lines(&folder.join(EVENTS_FILE), events)?;
+        write_lines(&folder.join("broken.txt"), self.violations.iter().chain(&self.late).cloned())
     }
 }
 
 fn events(scenario: &Scenario, record: &Record) -> Vec<(f64, String)> {
     let mut events: Vec<_> =
         scenario.timeline.iter().map(|(at, fault)| (*at, format!("planned {fault:?}"))).collect();
-    let described = |(at, note): &(f64, Note)| match note.request() {
+    let describe = |(at, note): &(f64, Note)| match note.request() {
         Some(id) => (*at, format!("{id:016x} {note:?}")),
         None => (*at, format!("{note:?}")),
     };
-    events.extend(record.notes.iter().map(described));
-    for (process, told) in record.told.iter().enumerate() {
-        events.extend(told.iter().map(|(at, note)| (*at, format!("b{process} {note:?}"))));
+    events.extend(record.notes.iter().map(describe));
+    for (process, process_notes) in record.process_notes.iter().enumerate() {
+        events.extend(process_notes.iter().map(|(at, note)| (*at, format!("b{process} {note:?}"))));
     }
     events.sort_by(|a, b| a.0.total_cmp(&b.0));
     events
