--- a/emulator/src/lib.rs
+++ b/emulator/src/lib.rs
@@ -1,8 +1,12 @@
-//! Stand-ins for all that the balancer talks to, written from the protocol pages alone.
+//! Emulated servers, discovery and clients for tests and experiments with the balancer, written from the protocol
+//! specifications alone, and checkers of the logs that they write.
 //!
-//! [`model`] has what a form host, a keeper and a drafter do, without sockets and without a clock, so
-//! that virtual time and real sockets run the same. [`platform`] has plain form hosts, discovery and clients on sockets. Nothing here shares code with the deciders
-//! whose work it judges; it shares the syntax of links with them, and no more.
+//! [`model`] has the behavior of servers, lease replicas and clients without sockets and without a clock, so that
+//! the same code runs in virtual time and on real sockets. [`sockets`] runs the models of sessions on loopback
+//! sockets. [`platform`] has servers, discovery and clients of plain connections on loopback sockets. [`checker`]
+//! checks the log of a run with sessions, [`platform::rules`] that of a run with plain connections.
+//!
+//! Except for the frames and lines of session links, nothing here shares code with the implementation that it checks.
 
 pub mod checker;
 pub mod model;
--- a/emulator/src/model/fluid/mod.rs
+++ b/emulator/src/model/fluid/mod.rs
@@ -1,8 +1,8 @@
-//! A crowd of clients before a fleet of form hosts, as a model of load: what hosts can do and how they
-//! fail under too much, how long clients stay and when they come again, how a list service keeps up.
+//! A fluid model of the load of clients on a fleet of servers: the capacity of servers and how they fail under
+//! overload, how long clients stay and when they reconnect, and the capacity of the discovery service.
 //!
-//! Fluid where single messages do not matter: a host has work coming in at a rate, and what it cannot
-//! do piles up. Times are in ms, work is in ms of one standard core.
+//! Single messages are not modeled: work arrives at a server at a rate, and what exceeds its capacity accumulates as
+//! backlog. Times are in ms, work is in ms of one standard core.
 
 mod client;
 mod discovery;
--- a/emulator/src/model/injected_bug.rs
+++ b/emulator/src/model/injected_bug.rs
@@ -1,26 +1,26 @@
-//! Bugs that are planted to see whether the checkers find them.
+//! Bugs that are injected to verify that the checkers detect them.
 
 use serde::{Deserialize, Serialize};
 
-/// A bug.
+/// A bug that is injected to verify that the checkers detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum InjectedBug {
-    /// Keepers promise a session to everybody who asks, and holders say that they let go and do not.
+    /// Replicas promise a session to every claim, and lease holders confirm a release without releasing.
     HeldTwice,
-    /// Keepers say that a save is kept and do not keep it.
+    /// Replicas confirm saves that they do not store.
     LostField,
-    /// Holders apply a save again that they have applied.
+    /// Lease holders apply some saves twice.
     DoubleApply,
-    /// A balancer still opens tokens of a key that was withdrawn.
+    /// A balancer accepts tokens of a key that was withdrawn.
     ForgedToken,
 }
 
 impl InjectedBug {
-    /// All of them.
+    /// All bugs.
     pub const ALL: [Self; 4] = [Self::HeldTwice, Self::LostField, Self::DoubleApply, Self::ForgedToken];
 
-    /// The name by which it is asked for.
+    /// Returns the name of the bug on the command line.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -39,7 +39,7 @@
         let names = Self::ALL.map(Self::name).join(", ");
         Self::ALL
             .into_iter()
-            .find(|p| p.name() == name)
-            .ok_or(format!("no plant \"{name}\"; there are {names}"))
+            .find(|bug| bug.name() == name)
+            .ok_or(format!("unknown bug \"{name}\"; the available bugs are {names}"))
     }
 }
--- a/emulator/src/model/lease_holder.rs
+++ b/emulator/src/model/lease_holder.rs
@@ -1,57 +1,60 @@
-//! A holder: what a form host does with sessions that it is given. `docs/protocol-resume.md` has the
-//! rules.
+//! The lease holder: how a server holds the sessions that balancers open at it. It implements
+//! `docs/protocol-resume.md`.
 
 use super::record::{Note, session_name};
 use super::{InjectedBug, Millis};
 use marllink_lease_protocol::{Ballot, SessionId};
 use std::collections::{BTreeMap, HashMap};
 
-/// What a holder says on a connection, or does with it.
+/// An action that the caller carries out for the lease holder.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HolderAction {
-    /// A line, without its end.
+    /// Send this line on the connection, with a line end appended.
     SendLine(u64, String),
-    /// The connection ends.
+    /// Close the connection once all lines are sent.
     Close(u64),
-    /// To be written down.
+    /// Log this event.
     Record(Note),
 }
 
-/// The sessions of a form host, by its connections.
+/// The sessions of a server, by connection.
 #[derive(Debug)]
 pub struct LeaseHolder {
-    held: HashMap<u64, Session>,
-    /// Ballots that this form host has promised to take no more, and since when.
-    let_go: HashMap<SessionId, (Ballot, Millis)>,
+    sessions: HashMap<u64, HeldSession>,
+    /// By session: the highest ballot that the server has released and accepts no more, and the time of the last
+    /// release.
+    released: HashMap<SessionId, (Ballot, Millis)>,
     injected_bug: Option<InjectedBug>,
 }
 
 #[derive(Debug)]
-struct Session {
+struct HeldSession {
     session: SessionId,
     ballot: Ballot,
-    /// Until when its lease runs; before the first it has none.
-    lease_until: Option<Millis>,
-    /// When each `RENEW` was sent that has no answer yet.
-    asked: BTreeMap<u64, Millis>,
-    next_k: u64,
+    /// End of the lease; `None` before the first lease.
+    lease_expires_at: Option<Millis>,
+    /// Send times of the `RENEW` lines without an answer, by number.
+    renewals: BTreeMap<u64, Millis>,
+    next_renewal: u64,
     renew_at: Millis,
-    up: bool,
+    established: bool,
     upto: u64,
     fields: BTreeMap<String, String>,
 }
 
-/// A promise to take no more of a ballot is kept for so long: no attempt takes nearly that.
-const LET_GO_RETENTION_MS: Millis = 120_000.0;
+/// Time for which released ballots are remembered. No attempt to open a session takes nearly as long.
+const RELEASED_RETENTION_MS: Millis = 120_000.0;
 
 impl LeaseHolder {
-    /// One that holds nothing.
+    /// Returns a lease holder without sessions.
     #[must_use]
     pub fn new(injected_bug: Option<InjectedBug>) -> Self {
-        Self { held: HashMap::new(), let_go: HashMap::new(), injected_bug }
+        Self { sessions: HashMap::new(), released: HashMap::new(), injected_bug }
     }
 
-    /// A connection asks for a session to be held: `s` of its first line.
+    /// Handles the first line of a connection for a session; `session` and `ballot` are its key `s`. Rejects ballots
+    /// that were released or that are not above the ballot of a connection with the same session, and closes
+    /// connections of the session with lower ballots.
     pub fn open(
         &mut self,
         now: Millis,
@@ -60,33 +63,34 @@
         ballot: Ballot,
         actions: &mut Vec<HolderAction>,
     ) {
-        let promised = self.let_go.get(&session).is_some_and(|(up_to, _)| ballot <= *up_to);
-        let others: Vec<_> = self.held.iter().filter(|(_, h)| h.session == session).collect();
-        if promised || others.iter().any(|(_, h)| h.ballot >= ballot) {
+        let rejected = self.released.get(&session).is_some_and(|(highest, _)| ballot <= *highest);
+        let others: Vec<_> = self.sessions.iter().filter(|(_, held)| held.session == session).collect();
+        if rejected || others.iter().any(|(_, held)| held.ballot >= ballot) {
             actions.push(HolderAction::SendLine(connection, "BUSY".into()));
             actions.push(HolderAction::Close(connection));
             return;
         }
-        let earlier: Vec<_> = others.into_iter().map(|(connection, _)| *connection).collect();
-        for connection in earlier {
+        let superseded: Vec<_> = others.into_iter().map(|(connection, _)| *connection).collect();
+        for connection in superseded {
             self.end(now, connection, "MOVE", actions);
         }
-        let held = Session {
+        let held = HeldSession {
             session,
             ballot,
-            lease_until: None,
-            asked: BTreeMap::from([(1, now)]),
-            next_k: 2,
+            lease_expires_at: None,
+            renewals: BTreeMap::from([(1, now)]),
+            next_renewal: 2,
             renew_at: f64::INFINITY,
-            up: false,
+            established: false,
             upto: 0,
             fields: BTreeMap::new(),
         };
-        self.held.insert(connection, held);
+        self.sessions.insert(connection, held);
         actions.push(HolderAction::SendLine(connection, "RENEW 1".into()));
     }
 
-    /// A line has come on a connection. True if it is one of those that holders understand.
+    /// Handles a line, without its line end. Returns true if the connection has a session and the line is one of the
+    /// session protocol.
     pub fn handle_line(
         &mut self,
         now: Millis,
@@ -95,26 +99,27 @@
         actions: &mut Vec<HolderAction>,
     ) -> bool {
         let (word, rest) = line.split_once(' ').unwrap_or((line, ""));
-        if !self.held.contains_key(&connection)
+        if !self.sessions.contains_key(&connection)
             || !["LEASE", "FIELD", "STATE", "SAVE", "DONE"].contains(&word)
         {
             return false;
         }
-        // Whatever comes after the lease's end comes too late.
+        // A line that arrives after the lease has expired must not be handled any more.
         self.check_lease(now, connection, actions);
-        let Some(held) = self.held.get_mut(&connection) else { return true };
+        let Some(held) = self.sessions.get_mut(&connection) else { return true };
         let session = session_name(held.session);
         match word {
             "LEASE" => {
-                let numbers =
-                    rest.split_once(' ').and_then(|(k, ms)| Some((k.parse().ok()?, ms.parse().ok()?)));
-                let Some((k, ms)): Option<(u64, Millis)> = numbers else { return true };
-                if let Some(asked) = held.asked.remove(&k) {
-                    held.asked.retain(|other, _| *other > k);
-                    let first = held.lease_until.is_none();
-                    held.lease_until = Some(held.lease_until.unwrap_or(0.0).max(asked + ms));
-                    held.renew_at = asked + ms / 4.0;
-                    if first && asked + ms > now {
+                let numbers = rest
+                    .split_once(' ')
+                    .and_then(|(number, ms)| Some((number.parse().ok()?, ms.parse().ok()?)));
+                let Some((number, ms)): Option<(u64, Millis)> = numbers else { return true };
+                if let Some(sent_at) = held.renewals.remove(&number) {
+                    held.renewals.retain(|other, _| *other > number);
+                    let first = held.lease_expires_at.is_none();
+                    held.lease_expires_at = Some(held.lease_expires_at.unwrap_or(0.0).max(sent_at + ms));
+                    held.renew_at = sent_at + ms / 4.0;
+                    if first && sent_at + ms > now {
                         actions
                             .push(HolderAction::Record(Note::LeaseAcquired { session, ballot: held.ballot }));
                     }
@@ -129,13 +134,15 @@
                 }
             }
             "STATE" => {
-                let numbers: Option<(u64, usize)> =
-                    rest.split_once(' ').and_then(|(n, c)| Some((n.parse().ok()?, c.parse().ok()?)));
+                let numbers: Option<(u64, usize)> = rest
+                    .split_once(' ')
+                    .and_then(|(upto, count)| Some((upto.parse().ok()?, count.parse().ok()?)));
                 match numbers {
-                    Some((upto, count)) if count == held.fields.len() && held.lease_until.is_some() => {
+                    Some((upto, count)) if count == held.fields.len() && held.lease_expires_at.is_some() => {
                         held.upto = upto;
-                        held.up = true;
-                        let fields = held.fields.iter().map(|(n, v)| (n.clone(), v.clone())).collect();
+                        held.established = true;
+                        let fields =
+                            held.fields.iter().map(|(name, value)| (name.clone(), value.clone())).collect();
                         actions.push(HolderAction::Record(Note::StateLoaded {
                             session,
                             ballot: held.ballot,
@@ -159,13 +166,13 @@
                     held.upto = n;
                     held.fields.insert(name.into(), value.into());
                     let (name, value): (String, String) = (name.into(), value.into());
-                    let applies = Note::SaveApplied { session, ballot: held.ballot, n, name, value };
+                    let applied = Note::SaveApplied { session, ballot: held.ballot, n, name, value };
                     if self.injected_bug == Some(InjectedBug::DoubleApply) && n % 50 == 0 {
-                        actions.push(HolderAction::Record(applies.clone()));
+                        actions.push(HolderAction::Record(applied.clone()));
                     }
-                    actions.push(HolderAction::Record(applies));
+                    actions.push(HolderAction::Record(applied));
                 }
-                // What is missing is not confirmed, and what was applied before is confirmed again.
+                // Duplicates of applied saves are confirmed again. A save after a gap is not confirmed.
                 if n <= held.upto {
                     actions.push(HolderAction::SendLine(connection, format!("SAVED {n}")));
                 }
@@ -175,7 +182,7 @@
         true
     }
 
-    /// A claimer asks to let go of a session. What is answered holds from now on.
+    /// Releases a session up to a ballot for a new claim, and rejects these ballots from now on.
     pub fn let_go(
         &mut self,
         now: Millis,
@@ -186,26 +193,27 @@
         if self.injected_bug == Some(InjectedBug::HeldTwice) {
             return;
         }
-        let entry = self.let_go.entry(session).or_insert((ballot, now));
+        let entry = self.released.entry(session).or_insert((ballot, now));
         *entry = (entry.0.max(ballot), now);
-        self.let_go.retain(|_, (_, since)| now - *since < LET_GO_RETENTION_MS);
-        let held = self.held.iter().filter(|(_, h)| h.session == session && h.ballot <= ballot);
-        let connections: Vec<_> = held.map(|(connection, _)| *connection).collect();
+        self.released.retain(|_, (_, released_at)| now - *released_at < RELEASED_RETENTION_MS);
+        let released =
+            self.sessions.iter().filter(|(_, held)| held.session == session && held.ballot <= ballot);
+        let connections: Vec<_> = released.map(|(connection, _)| *connection).collect();
         for connection in connections {
             self.end(now, connection, "TAKEN", actions);
         }
     }
 
-    /// A connection has ended from the other side.
+    /// Handles a connection that the balancer has closed.
     pub fn handle_close(&mut self, now: Millis, connection: u64, actions: &mut Vec<HolderAction>) {
-        if let Some(held) = self.held.remove(&connection) {
+        if let Some(held) = self.sessions.remove(&connection) {
             record_end(now, &held, actions);
         }
     }
 
-    /// Renews leases that are due, and lets go of sessions whose lease is over.
+    /// Renews leases that are due, and closes connections whose lease has expired.
     pub fn tick(&mut self, now: Millis, actions: &mut Vec<HolderAction>) {
-        let mut connections: Vec<_> = self.held.keys().copied().collect();
+        let mut connections: Vec<_> = self.sessions.keys().copied().collect();
         connections.sort_unstable();
         for connection in connections {
             self.check_lease(now, connection, actions);
@@ -213,50 +221,51 @@
     }
 
     fn check_lease(&mut self, now: Millis, connection: u64, actions: &mut Vec<HolderAction>) {
-        let Some(held) = self.held.get_mut(&connection) else { return };
-        if held.lease_until.is_some_and(|until| until <= now) {
+        let Some(held) = self.sessions.get_mut(&connection) else { return };
+        if held.lease_expires_at.is_some_and(|expires_at| expires_at <= now) {
             self.end(now, connection, "MOVE", actions);
             return;
         }
         if held.renew_at <= now {
-            let k = held.next_k;
-            held.next_k += 1;
-            held.asked.insert(k, now);
-            // Asked again soon if no answer comes.
+            let number = held.next_renewal;
+            held.next_renewal += 1;
+            held.renewals.insert(number, now);
+            // Without an answer the renewal is sent again.
             held.renew_at = now + 250.0;
-            actions.push(HolderAction::SendLine(connection, format!("RENEW {k}")));
+            actions.push(HolderAction::SendLine(connection, format!("RENEW {number}")));
         }
     }
 
-    /// Ends a connection with a last word.
+    /// Closes a connection with a closing message.
     fn end(&mut self, now: Millis, connection: u64, word: &str, actions: &mut Vec<HolderAction>) {
-        if let Some(held) = self.held.remove(&connection) {
+        if let Some(held) = self.sessions.remove(&connection) {
             record_end(now, &held, actions);
             actions.push(HolderAction::SendLine(connection, word.into()));
             actions.push(HolderAction::Close(connection));
         }
     }
 
-    /// Forgets everything, as a process that is killed does.
+    /// Drops all state, as a killed process does.
     pub fn kill(&mut self, now: Millis, actions: &mut Vec<HolderAction>) {
-        for (_, held) in std::mem::take(&mut self.held) {
+        for (_, held) in std::mem::take(&mut self.sessions) {
             record_end(now, &held, actions);
         }
-        self.let_go.clear();
+        self.released.clear();
     }
 
-    /// Connections by which something is held or is about to be.
+    /// Returns the number of connections with a session, including those without a lease yet.
     #[must_use]
     pub fn session_count(&self) -> usize {
-        self.held.len()
+        self.sessions.len()
     }
 }
 
-/// By its own clock a holder lets go when its lease ends, though it may be asleep then.
-fn record_end(now: Millis, held: &Session, actions: &mut Vec<HolderAction>) {
-    if let Some(until) = held.lease_until {
+/// Logs the release of a session. A holder whose lease expired while it was stalled has released the session at the
+/// expiry by its own clock.
+fn record_end(now: Millis, held: &HeldSession, actions: &mut Vec<HolderAction>) {
+    if let Some(expires_at) = held.lease_expires_at {
         let (session, ballot) = (session_name(held.session), held.ballot);
-        let late_ms = (now - until).max(0.0);
+        let late_ms = (now - expires_at).max(0.0);
         actions.push(HolderAction::Record(Note::LeaseReleased { session, ballot, late_ms }));
     }
 }
--- a/emulator/src/model/lease_replica.rs
+++ b/emulator/src/model/lease_replica.rs
@@ -1,5 +1,5 @@
-//! A keeper: what a form host stores of sessions that others hold. `docs/protocol-resume.md` has the
-//! rules; this follows them word by word.
+//! A lease replica: the records of sessions that a server stores for the balancers that own them. It implements
+//! `docs/protocol-resume.md` literally.
 
 use super::{InjectedBug, Millis};
 use marllink_lease_protocol::{
@@ -8,13 +8,13 @@
 };
 use std::collections::HashMap;
 
-/// A keeper's records and leases.
+/// The records and leases of a replica.
 #[derive(Debug)]
 pub struct LeaseReplica {
-    /// By owner: until when its lease runs.
+    /// Expiry time of the lease of each owner.
     leases: HashMap<u64, Millis>,
     records: HashMap<SessionId, Record>,
-    /// Records at most.
+    /// Maximum number of records.
     max_records: usize,
     swept_at: Millis,
     injected_bug: Option<InjectedBug>,
@@ -35,19 +35,19 @@
     touched_at: Millis,
 }
 
-/// How often records are looked for that nobody needs any more.
+/// Interval between removals of expired records.
 const SWEEP_INTERVAL_MS: Millis = 5_000.0;
-/// Pointers that a record keeps: a token may be as many configurations old.
+/// Maximum number of configuration pointers of a record: a token may be this many configurations old.
 const MAX_POINTERS: usize = 8;
 
 impl LeaseReplica {
-    /// An empty one with max_records for so many records.
+    /// Returns an empty replica that stores up to `max_records` records.
     #[must_use]
     pub fn new(max_records: usize, injected_bug: Option<InjectedBug>) -> Self {
         Self { leases: HashMap::new(), records: HashMap::new(), max_records, swept_at: 0.0, injected_bug }
     }
 
-    /// Answers a call of this owner's.
+    /// Handles a call of an owner. Returns the reply, if the call has one.
     pub fn handle(&mut self, now: Millis, owner: u64, call: &Call) -> Option<Reply> {
         if now - self.swept_at > SWEEP_INTERVAL_MS {
             self.sweep(now);
@@ -66,13 +66,13 @@
                 self.release(owner, release);
                 return None;
             }
-            // That is the holder's.
+            // Handled by the lease holder.
             call::Body::LetGo(_) => return None,
         };
         Some(Reply::new(body))
     }
 
-    /// Records that are kept now.
+    /// Returns the number of stored records.
     #[must_use]
     pub fn record_count(&self) -> usize {
         self.records.len()
@@ -81,39 +81,40 @@
     fn sweep(&mut self, now: Millis) {
         self.swept_at = now;
         let leases = &self.leases;
-        self.records.retain(|_, r| {
-            let leased = !r.released && leases.get(&r.owner).is_some_and(|until| *until > now);
-            leased || now - r.touched_at < r.keep_ms
+        self.records.retain(|_, record| {
+            let leased =
+                !record.released && leases.get(&record.owner).is_some_and(|expires_at| *expires_at > now);
+            leased || now - record.touched_at < record.keep_ms
         });
-        self.leases.retain(|_, until| *until > now);
+        self.leases.retain(|_, expires_at| *expires_at > now);
     }
 
-    fn left(&self, now: Millis, owner: u64) -> Millis {
-        self.leases.get(&owner).map_or(0.0, |until| (until - now).max(0.0))
+    fn lease_left_ms(&self, now: Millis, owner: u64) -> Millis {
+        self.leases.get(&owner).map_or(0.0, |expires_at| (expires_at - now).max(0.0))
     }
 
     fn claim(&mut self, now: Millis, owner: u64, claim: &Claim) -> reply::Body {
         let (session, ballot) = (claim.session, claim.ballot);
-        let injected_bug = self.injected_bug == Some(InjectedBug::HeldTwice);
-        let left = self.records.get(&session).map_or(0.0, |r| self.left(now, r.owner));
+        let held_twice = self.injected_bug == Some(InjectedBug::HeldTwice);
+        let left_ms = self.records.get(&session).map_or(0.0, |record| self.lease_left_ms(now, record.owner));
         let Some(record) = self.records.get_mut(&session) else {
             return refused(session, ballot, Why::Unknown, None);
         };
-        if claim.token_epoch < record.confirmed && !injected_bug {
+        if claim.token_epoch < record.confirmed && !held_twice {
             return refused(session, ballot, Why::Stale, Some(record));
         }
         let free = record.released
             || record.owner == owner
-            || left <= 0.0
+            || left_ms <= 0.0
             || claim.proof.is_some_and(|proof| record.promised <= proof);
-        if !free && !injected_bug {
-            let reply::Body::Refused(no) = refused(session, ballot, Why::Leased, Some(record)) else {
-                unreachable!("it was just made")
+        if !free && !held_twice {
+            let reply::Body::Refused(refusal) = refused(session, ballot, Why::Leased, Some(record)) else {
+                unreachable!("refused() returns Refused")
             };
-            return reply::Body::Refused(Refused { left_ms: left.ceil() as u32, ..no });
+            return reply::Body::Refused(Refused { left_ms: left_ms.ceil() as u32, ..refusal });
         }
-        let again = record.promised == ballot && record.owner == owner;
-        if ballot <= record.promised && !again && !injected_bug {
+        let repeated = record.promised == ballot && record.owner == owner;
+        if ballot <= record.promised && !repeated && !held_twice {
             return refused(session, ballot, Why::Outbid, Some(record));
         }
         record.promised = ballot;
@@ -121,7 +122,7 @@
         record.released = false;
         record.holder = None;
         record.touched_at = now;
-        let pointers = record.pointers.iter().filter(|p| p.to.number > claim.configuration);
+        let pointers = record.pointers.iter().filter(|pointer| pointer.to.number > claim.configuration);
         reply::Body::Promised(Promised {
             session,
             ballot,
@@ -138,14 +139,14 @@
         if !self.records.contains_key(&session) && self.records.len() >= self.max_records {
             return refused(session, ballot, Why::Full, None);
         }
-        let before = self.records.remove(&session);
-        if let Some(record) = &before {
-            let mine = record.owner == owner || record.owner == hold.from;
-            let good = ballot > record.promised || ballot == record.promised && mine;
-            if !good && self.injected_bug != Some(InjectedBug::HeldTwice) {
-                let no = refused(session, ballot, Why::Outbid, Some(record));
-                self.records.extend(before.map(|record| (session, record)));
-                return no;
+        let previous = self.records.remove(&session);
+        if let Some(record) = &previous {
+            let is_owner = record.owner == owner || record.owner == hold.from;
+            let valid = ballot > record.promised || ballot == record.promised && is_owner;
+            if !valid && self.injected_bug != Some(InjectedBug::HeldTwice) {
+                let refusal = refused(session, ballot, Why::Outbid, Some(record));
+                self.records.extend(previous.map(|record| (session, record)));
+                return refusal;
             }
         }
         let upto = hold.journal.upto;
@@ -157,8 +158,8 @@
             written: ballot,
             configuration: hold.configuration,
             journal: hold.journal.clone(),
-            confirmed: hold.confirmed.max(before.as_ref().map_or(0, |r| r.confirmed)),
-            pointers: before.map_or_else(Vec::new, |r| r.pointers),
+            confirmed: hold.confirmed.max(previous.as_ref().map_or(0, |record| record.confirmed)),
+            pointers: previous.map_or_else(Vec::new, |record| record.pointers),
             keep_ms: hold.keep_ms as f64,
             touched_at: now,
         };
@@ -183,7 +184,7 @@
             record.journal.upto = n;
             if self.injected_bug != Some(InjectedBug::LostField) {
                 let fields = &mut record.journal.fields;
-                match fields.iter_mut().find(|f| f.name == append.field.name) {
+                match fields.iter_mut().find(|field| field.name == append.field.name) {
                     Some(field) => *field = append.field.clone(),
                     None => fields.push(append.field.clone()),
                 }
@@ -199,7 +200,7 @@
             Some(record) if record.promised > ballot => refused(session, ballot, Why::Outbid, Some(record)),
             Some(record) => {
                 record.confirmed = record.confirmed.max(ballot.epoch);
-                // It tells nothing of the journal, which may have been written under another ballot.
+                // The length of a journal that was written under another ballot says nothing about this one.
                 let upto = if record.written == ballot { record.journal.upto } else { 0 };
                 reply::Body::Stored(Stored { session, ballot, upto, pointer: 0, tag: 0 })
             }
@@ -217,7 +218,7 @@
         record.promised = ballot;
         record.owner = owner;
         let number = point.pointer.to.number;
-        record.pointers.retain(|p| p.to.number != number);
+        record.pointers.retain(|pointer| pointer.to.number != number);
         record.pointers.push(point.pointer.clone());
         if record.pointers.len() > MAX_POINTERS {
             record.pointers.remove(0);
@@ -239,7 +240,7 @@
 }
 
 fn refused(session: SessionId, ballot: Ballot, why: Why, record: Option<&Record>) -> reply::Body {
-    let promised = record.map_or_else(Ballot::default, |r| r.promised);
-    let holder = record.and_then(|r| r.holder);
+    let promised = record.map_or_else(Ballot::default, |record| record.promised);
+    let holder = record.and_then(|record| record.holder);
     reply::Body::Refused(Refused { session, ballot, why: why.into(), promised, holder, left_ms: 0 })
 }
--- a/emulator/src/model/mod.rs
+++ b/emulator/src/model/mod.rs
@@ -1,5 +1,5 @@
-//! What stand-ins do: events in, answers out, time as an argument (milliseconds on the stand-in's own
-//! clock).
+//! Models of servers and clients without I/O: events in, actions out, with the time as an argument, in
+//! milliseconds on the emulated process's own clock.
 
 pub mod fluid;
 mod injected_bug;
@@ -14,5 +14,5 @@
 pub use record::{Entry, Note, TokenKind, session_name};
 pub use session_client::{ClientAction, SessionClient, SessionClientConfig};
 
-/// Milliseconds.
+/// Milliseconds, as a point in time or as a duration.
 pub type Millis = f64;
--- a/emulator/src/model/record.rs
+++ b/emulator/src/model/record.rs
@@ -1,143 +1,143 @@
-//! What form hosts and clients write down of what they see, for the checkers to read.
+//! Log entries that servers and clients write for the checkers.
 
 use super::Millis;
 use marllink_lease_protocol::{Ballot, SessionId};
 use serde::{Deserialize, Serialize};
 
-/// One line of what was written down.
+/// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// When, on the experiment's own clock, whatever the writer's shows.
+    /// Time on the experiment's clock, independent of the writer's own clock.
     pub at: Millis,
-    /// Who wrote it: a form host, a client or a balancer's supervisor.
+    /// Name of the writer: a server, a client or the supervisor of the balancers.
     pub by: String,
-    /// What.
+    /// The event.
     #[serde(flatten)]
     pub note: Note,
 }
 
-/// What may be written down.
+/// An event of a log entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "note", rename_all = "kebab-case")]
 pub enum Note {
-    /// A form host holds a session from now on.
+    /// A server has acquired its first lease on a session, and holds the session from now on.
     #[serde(rename = "holds")]
     LeaseAcquired {
-        /// Which.
+        /// The session.
         session: String,
-        /// Under which ballot.
+        /// The ballot under which the server holds it.
         ballot: Ballot,
     },
-    /// A form host has the state of a session up to this save, with this digest.
+    /// A server has received the state of a session, up to the save `upto`.
     #[serde(rename = "begins")]
     StateLoaded {
-        /// Which.
+        /// The session.
         session: String,
-        /// Under which ballot.
+        /// The ballot under which the server holds it.
         ballot: Ballot,
-        /// The last save in it.
+        /// Number of the last save in the state.
         upto: u64,
-        /// The values, by field, as they were saved last.
+        /// Names and latest values of the fields.
         fields: Vec<(String, String)>,
     },
-    /// A form host has applied a save.
+    /// A server has applied a save.
     #[serde(rename = "applies")]
     SaveApplied {
-        /// Of which session.
+        /// The session.
         session: String,
-        /// Under which ballot.
+        /// The ballot under which the server holds it.
         ballot: Ballot,
-        /// Its number.
+        /// Number of the save.
         n: u64,
-        /// The field.
+        /// Name of the field.
         name: String,
-        /// The value.
+        /// Value of the field.
         value: String,
     },
-    /// A form host holds a session no more, since then.
+    /// A server no longer holds a session: it closed the connection or its lease expired.
     #[serde(rename = "lets-go")]
     LeaseReleased {
-        /// Which.
+        /// The session.
         session: String,
-        /// Under which ballot.
+        /// The ballot under which the server holds it.
         ballot: Ballot,
-        /// By its own clock it let go so long before it got round to writing this down.
+        /// Time between the release by the server's own clock and this entry. A lease may expire while the server is stalled.
         late_ms: Millis,
     },
-    /// A client has asked for something: a new session, or to resume.
+    /// A client has requested a new session, or to resume its session.
     #[serde(rename = "asks")]
     OpenSent {
-        /// Which of its connections.
+        /// Number of the client's connection.
         connection: u64,
-        /// By which balancer.
+        /// Index of the balancer.
         balancer: usize,
-        /// The kind of what it asks by.
+        /// The kind of token in the request.
         token: TokenKind,
     },
-    /// A client has had its final answer.
+    /// A client has received the final answer to its request.
     Answered {
-        /// Which of its connections.
+        /// Number of the client's connection.
         connection: u64,
-        /// The first word of it; empty if the connection ended without one.
+        /// First word of the answer; empty if the connection ended without one.
         word: String,
-        /// What it asked by.
+        /// The kind of token in the request.
         token: TokenKind,
     },
-    /// A client's connection has ended after it stood.
+    /// An established connection of a client has ended.
     #[serde(rename = "ends")]
     ConnectionEnded {
-        /// Which of its connections.
+        /// Number of the client's connection.
         connection: u64,
-        /// How: `MOVE`, `TAKEN`, `BYE`, `closed` or `reset`.
+        /// The closing message `MOVE`, `TAKEN` or `BYE`, or `closed` or `reset` without one.
         how: String,
     },
-    /// A client has sent a save, for the first time.
+    /// A client has sent a save for the first time, or with a new value.
     #[serde(rename = "sends")]
     SaveSent {
-        /// Its number.
+        /// Number of the save.
         n: u64,
-        /// The field.
+        /// Name of the field.
         name: String,
-        /// The value.
+        /// Value of the field.
         value: String,
     },
-    /// A client was told that its saves up to this one will last.
+    /// A client has received the confirmation of its saves up to this one.
     #[serde(rename = "confirmed")]
     SavesConfirmed {
-        /// Which.
+        /// Number of the last confirmed save.
         n: u64,
     },
-    /// A client was told that its journal has no room.
+    /// A client was notified that its journal has no room for a save.
     #[serde(rename = "full")]
     JournalFull {
-        /// For which save.
+        /// Number of the save.
         n: u64,
     },
-    /// A client gives its session up, having been told that it can't be resumed.
+    /// A client abandons its session because the balancer answered that it cannot be resumed.
     #[serde(rename = "gives-up")]
     SessionAbandoned,
     /// A fault begins or ends.
     Fault {
-        /// Which, in words.
+        /// Description of the fault.
         what: String,
     },
 }
 
-/// By what a client asks.
+/// The kind of token that a client presents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TokenKind {
-    /// For a new session.
+    /// No token: the request is for a new session.
     New,
-    /// By the token that it was given last.
+    /// The latest token that the client received.
     Good,
-    /// By one that it was given before that, though it has gone on with a newer one.
+    /// An older token, although the client has already resumed with a newer one.
     Stale,
-    /// By one that nobody gave it.
+    /// A token that was never issued.
     Forged,
 }
 
-/// The name of a session, as all write it.
+/// Returns the name of a session in log entries.
 #[must_use]
 pub fn session_name(session: SessionId) -> String {
     session.to_string()
--- a/emulator/src/model/session_client.rs
+++ b/emulator/src/model/session_client.rs
@@ -1,4 +1,4 @@
-//! A drafter at a client: saves fields, one after another, and comes back whenever it is cut off.
+//! A client that saves form fields in a resumable session, and reconnects whenever it is disconnected.
 
 use super::Millis;
 use super::record::{Note, TokenKind};
@@ -6,30 +6,30 @@
 use rand::{Rng, SeedableRng};
 use std::collections::VecDeque;
 
-/// How drafters are.
+/// Behavior of session clients.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SessionClientConfig {
-    /// A save comes so long after the one before, give or take half.
+    /// Mean interval between saves. Each interval is drawn between half and one and a half times this.
     pub save_interval_ms: Millis,
-    /// Fields of the form.
+    /// Number of fields in the form.
     pub field_count: usize,
-    /// Bytes of a value.
+    /// Size of a value, in bytes.
     pub value_bytes: usize,
-    /// Saves that it sends without waiting for their confirmation.
+    /// Maximum number of saves without a confirmation.
     pub max_unconfirmed: usize,
-    /// Who is cut off comes back after so long at least ...
+    /// Minimum delay before a disconnected client reconnects.
     pub min_reconnect_delay_ms: Millis,
-    /// ... and at most.
+    /// Maximum delay before a disconnected client reconnects.
     pub max_reconnect_delay_ms: Millis,
-    /// So many balancers there are to come back to.
+    /// Number of balancers; each connection goes to one of them at random.
     pub balancer_count: usize,
-    /// How long it waits for an answer.
+    /// Time that the client waits for an answer, as sent in its request.
     pub answer_timeout_ms: Millis,
-    /// It comes back though it is told that another goes on with its session.
+    /// Whether the client reconnects although `TAKEN` said that its session was resumed elsewhere.
     pub resumes_after_taken: bool,
 }
 
-/// What a drafter wants done.
+/// An action that the caller carries out for the client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientAction {
     /// Connect to this balancer, and send this line.
@@ -38,25 +38,25 @@
     SendLine(String),
     /// Close the connection.
     Close,
-    /// Write this down.
+    /// Log this event.
     Record(Note),
-    /// Wake it then.
+    /// Call [`SessionClient::handle_timer`] at this time.
     WakeAt(Millis),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Phase {
-    /// Comes back at that time.
+    /// Not connected; reconnects at this time.
     Disconnected(Millis),
-    /// Waits for an answer.
+    /// Has sent its request.
     AwaitingAnswer,
-    /// Its connection stands.
+    /// Has an established connection.
     Connected,
-    /// It has ended for good.
+    /// Will not reconnect.
     Ended,
 }
 
-/// One drafter.
+/// One client.
 #[derive(Debug)]
 pub struct SessionClient {
     number: u64,
@@ -64,24 +64,24 @@
     rng: SmallRng,
     phase: Phase,
     token: Option<String>,
-    /// The kind of what was asked by last.
-    kind: TokenKind,
+    /// The kind of token in the last request.
+    token_kind: TokenKind,
     connection: u64,
     confirmed: u64,
-    next: u64,
-    /// Sent or to be sent, and not confirmed: number, field, value.
-    waiting: VecDeque<(u64, String, String)>,
-    /// Those of them that were sent on this connection.
-    sent: usize,
+    next_save: u64,
+    /// Saves without a confirmation, sent or not: number, field, value.
+    unconfirmed: VecDeque<(u64, String, String)>,
+    /// Number of these that were sent on the current connection.
+    sent_count: usize,
     save_at: Millis,
-    /// No more saves: it only sees what it has through.
-    finishing: bool,
-    /// When it is woken next.
-    armed: Option<Millis>,
+    /// Whether the client makes no more saves and only waits for the confirmation of those that it has.
+    stopping: bool,
+    /// Time of the earliest pending [`ClientAction::WakeAt`].
+    wake_at: Option<Millis>,
 }
 
 impl SessionClient {
-    /// A drafter who comes at `at` for the first time. Two of the same number and seed do the same.
+    /// Returns a client that connects at `at` for the first time. Clients with the same number and seed behave the same.
     #[must_use]
     pub fn new(number: u64, config: SessionClientConfig, seed: u64, at: Millis) -> Self {
         Self {
@@ -90,71 +90,71 @@
             rng: SmallRng::seed_from_u64(seed ^ number.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
             phase: Phase::Disconnected(at),
             token: None,
-            kind: TokenKind::New,
+            token_kind: TokenKind::New,
             connection: 0,
             confirmed: 0,
-            next: 1,
-            waiting: VecDeque::new(),
-            sent: 0,
+            next_save: 1,
+            unconfirmed: VecDeque::new(),
+            sent_count: 0,
             save_at: 0.0,
-            finishing: false,
-            armed: None,
+            stopping: false,
+            wake_at: None,
         }
     }
 
-    /// Its name in what is written down.
+    /// Returns the name of the client in log entries.
     #[must_use]
     pub fn name(&self) -> String {
         format!("d{}", self.number)
     }
 
-    /// Its token, if it has one.
+    /// Returns the latest token of the client.
     #[must_use]
     pub fn token(&self) -> Option<&str> {
         self.token.as_deref()
     }
 
-    /// True while its connection stands.
+    /// Returns true while the connection of the client is established.
     #[must_use]
     pub fn is_connected(&self) -> bool {
         self.phase == Phase::Connected
     }
 
-    /// True once all that it has sent is confirmed, or it has ended for good.
+    /// Returns true once the client is connected and all its saves are confirmed, or it will not reconnect.
     #[must_use]
     pub fn is_settled(&self) -> bool {
-        self.waiting.is_empty() && self.phase == Phase::Connected || self.phase == Phase::Ended
+        self.unconfirmed.is_empty() && self.phase == Phase::Connected || self.phase == Phase::Ended
     }
 
-    /// It saves nothing more, and only sees through what it has.
+    /// Stops making saves. Unconfirmed saves are still sent.
     pub fn stop_saving(&mut self) {
-        self.finishing = true;
+        self.stopping = true;
     }
 
-    /// Its time has come, for one thing or another.
+    /// Handles a timer set by [`ClientAction::WakeAt`].
     pub fn handle_timer(&mut self, now: Millis, actions: &mut Vec<ClientAction>) {
-        if self.armed.is_some_and(|at| at <= now) {
-            self.armed = None;
+        if self.wake_at.is_some_and(|at| at <= now) {
+            self.wake_at = None;
         }
         match self.phase {
-            Phase::Disconnected(at) if at <= now => self.ask(actions),
-            Phase::Disconnected(at) => self.arm(at, actions),
-            Phase::Connected => self.work(now, actions),
+            Phase::Disconnected(at) if at <= now => self.connect(actions),
+            Phase::Disconnected(at) => self.set_timer(at, actions),
+            Phase::Connected => self.save(now, actions),
             Phase::AwaitingAnswer | Phase::Ended => {}
         }
     }
 
-    fn arm(&mut self, at: Millis, actions: &mut Vec<ClientAction>) {
-        if self.armed.is_none_or(|armed| armed > at) {
-            self.armed = Some(at);
+    fn set_timer(&mut self, at: Millis, actions: &mut Vec<ClientAction>) {
+        if self.wake_at.is_none_or(|wake_at| wake_at > at) {
+            self.wake_at = Some(at);
             actions.push(ClientAction::WakeAt(at));
         }
     }
 
-    fn ask(&mut self, actions: &mut Vec<ClientAction>) {
+    fn connect(&mut self, actions: &mut Vec<ClientAction>) {
         let balancer = self.rng.random_range(0..self.config.balancer_count);
         self.connection += 1;
-        self.kind = if self.token.is_some() { TokenKind::Good } else { TokenKind::New };
+        self.token_kind = if self.token.is_some() { TokenKind::Good } else { TokenKind::New };
         let session = self.token.as_deref().unwrap_or("new");
         let (id, class) = (self.number << 24 | self.connection, "field-save");
         let line = format!(
@@ -162,67 +162,67 @@
             self.number, self.config.answer_timeout_ms as u64
         );
         self.phase = Phase::AwaitingAnswer;
-        self.sent = 0;
-        let note = Note::OpenSent { connection: self.connection, balancer, token: self.kind };
+        self.sent_count = 0;
+        let note = Note::OpenSent { connection: self.connection, balancer, token: self.token_kind };
         actions.push(ClientAction::Record(note));
         actions.push(ClientAction::Connect(balancer, line));
     }
 
-    fn work(&mut self, now: Millis, actions: &mut Vec<ClientAction>) {
-        let more = self.waiting.len() < self.config.max_unconfirmed && !self.finishing;
-        if self.save_at <= now && more {
+    fn save(&mut self, now: Millis, actions: &mut Vec<ClientAction>) {
+        let may_save = self.unconfirmed.len() < self.config.max_unconfirmed && !self.stopping;
+        if self.save_at <= now && may_save {
             let field = self.rng.random_range(0..self.config.field_count);
             let name = format!("f{field}");
-            let mut value = format!("{}.{}.", self.number, self.next);
+            let mut value = format!("{}.{}.", self.number, self.next_save);
             while value.len() < self.config.value_bytes {
                 value.push(char::from(self.rng.random_range(b'a'..=b'z')));
             }
             actions.push(ClientAction::Record(Note::SaveSent {
-                n: self.next,
+                n: self.next_save,
                 name: name.clone(),
                 value: value.clone(),
             }));
-            self.waiting.push_back((self.next, name, value));
-            self.next += 1;
+            self.unconfirmed.push_back((self.next_save, name, value));
+            self.next_save += 1;
             self.save_at = now + self.config.save_interval_ms * self.rng.random_range(0.5..1.5);
         }
-        self.send(actions);
-        if !self.finishing {
-            self.arm(self.save_at.max(now + 1.0), actions);
+        self.send_unsent(actions);
+        if !self.stopping {
+            self.set_timer(self.save_at.max(now + 1.0), actions);
         }
     }
 
-    fn send(&mut self, actions: &mut Vec<ClientAction>) {
-        for (n, name, value) in self.waiting.iter().skip(self.sent) {
+    fn send_unsent(&mut self, actions: &mut Vec<ClientAction>) {
+        for (n, name, value) in self.unconfirmed.iter().skip(self.sent_count) {
             actions.push(ClientAction::SendLine(format!("SAVE {n} {name}={value}")));
         }
-        self.sent = self.waiting.len();
+        self.sent_count = self.unconfirmed.len();
     }
 
-    /// A line has come, without its end.
+    /// Handles a line, without its line end.
     pub fn handle_line(&mut self, now: Millis, line: &str, actions: &mut Vec<ClientAction>) {
         let (word, rest) = line.split_once(' ').unwrap_or((line, ""));
         match (self.phase, word) {
             (Phase::AwaitingAnswer, "UP") => {
-                self.answered(word, actions);
+                self.record_answer(word, actions);
                 self.phase = Phase::Connected;
                 self.save_at = now;
-                self.work(now, actions);
+                self.save(now, actions);
             }
             (Phase::AwaitingAnswer, "BUSY") => {
-                self.answered(word, actions);
-                let wait = rest.parse().unwrap_or(0.0);
-                self.leave(now, wait, actions);
+                self.record_answer(word, actions);
+                let retry_after_ms = rest.parse().unwrap_or(0.0);
+                self.disconnect(now, retry_after_ms, actions);
             }
             (Phase::AwaitingAnswer, _) => {
-                self.answered(word, actions);
+                self.record_answer(word, actions);
                 if self.token.take().is_some() {
-                    // What it had is lost to it; whether that may be, the checker tells.
+                    // The session is lost. The checker counts it as abandoned.
                     actions.push(ClientAction::Record(Note::SessionAbandoned));
                     self.phase = Phase::Ended;
                     actions.push(ClientAction::Close);
                 } else {
-                    self.leave(now, 0.0, actions);
+                    self.disconnect(now, 0.0, actions);
                 }
             }
             (Phase::Connected, "TOKEN") => {
@@ -230,29 +230,33 @@
                 actions.push(ClientAction::SendLine("HAVE".into()));
             }
             (Phase::Connected, "SAVED") => {
-                let n = rest.parse().unwrap_or(0).min(self.next - 1);
+                let n = rest.parse().unwrap_or(0).min(self.next_save - 1);
                 if n > self.confirmed {
                     self.confirmed = n;
-                    while self.waiting.front().is_some_and(|(first, ..)| *first <= n) {
-                        self.waiting.pop_front();
-                        self.sent = self.sent.saturating_sub(1);
+                    while self.unconfirmed.front().is_some_and(|(first, ..)| *first <= n) {
+                        self.unconfirmed.pop_front();
+                        self.sent_count = self.sent_count.saturating_sub(1);
                     }
                     actions.push(ClientAction::Record(Note::SavesConfirmed { n }));
                 }
             }
             (Phase::Connected, "GAP") => {
-                // All from this one on are sent again.
+                // All saves from this one on are sent again.
                 let from: u64 = rest.parse().unwrap_or(0);
-                self.sent = self.waiting.iter().filter(|(n, ..)| *n < from).count();
-                self.send(actions);
+                self.sent_count = self.unconfirmed.iter().filter(|(n, ..)| *n < from).count();
+                self.send_unsent(actions);
             }
             (Phase::Connected, "FULL") => {
                 let n: u64 = rest.parse().unwrap_or(0);
                 actions.push(ClientAction::Record(Note::JournalFull { n }));
-                if let Some((_, _, value)) = self.waiting.iter_mut().find(|(m, ..)| *m == n) {
-                    // It says the same in fewer words.
+                if let Some((_, _, value)) = self.unconfirmed.iter_mut().find(|(other, ..)| *other == n) {
+                    // The save is sent again with a shorter value.
                     value.truncate(8);
-                    let (_, name, value) = self.waiting.iter().find(|(m, ..)| *m == n).expect("just seen");
+                    let (_, name, value) = self
+                        .unconfirmed
+                        .iter()
+                        .find(|(other, ..)| *other == n)
+                        .expect("the save was found above");
                     actions.push(ClientAction::Record(Note::SaveSent {
                         n,
                         name: name.clone(),
@@ -267,7 +271,7 @@
                     how: word.into(),
                 }));
                 if word == "MOVE" || word == "TAKEN" && self.config.resumes_after_taken {
-                    self.leave(now, 0.0, actions);
+                    self.disconnect(now, 0.0, actions);
                 } else {
                     self.phase = Phase::Ended;
                 }
@@ -276,37 +280,38 @@
         }
     }
 
-    /// The connection has ended.
+    /// Handles the end of the connection; `how` is `closed`, `reset` or `refused`.
     pub fn handle_close(&mut self, now: Millis, how: &str, actions: &mut Vec<ClientAction>) {
         match self.phase {
             Phase::AwaitingAnswer => {
-                self.answered("", actions);
-                self.leave(now, 0.0, actions);
+                self.record_answer("", actions);
+                self.disconnect(now, 0.0, actions);
             }
             Phase::Connected => {
                 actions.push(ClientAction::Record(Note::ConnectionEnded {
                     connection: self.connection,
                     how: how.into(),
                 }));
-                self.leave(now, 0.0, actions);
+                self.disconnect(now, 0.0, actions);
             }
             Phase::Disconnected(_) | Phase::Ended => {}
         }
     }
 
-    fn answered(&self, word: &str, actions: &mut Vec<ClientAction>) {
-        let (connection, word, token) = (self.connection, word.to_owned(), self.kind);
+    fn record_answer(&self, word: &str, actions: &mut Vec<ClientAction>) {
+        let (connection, word, token) = (self.connection, word.to_owned(), self.token_kind);
         actions.push(ClientAction::Record(Note::Answered { connection, word, token }));
     }
 
-    /// Comes back after some time, or after what it was told.
-    fn leave(&mut self, now: Millis, told: Millis, actions: &mut Vec<ClientAction>) {
-        let own =
+    /// Closes the connection and schedules the next one, after the delay that the balancer asked for, or a random one if
+    /// `retry_after_ms` is 0.
+    fn disconnect(&mut self, now: Millis, retry_after_ms: Millis, actions: &mut Vec<ClientAction>) {
+        let delay =
             self.rng.random_range(self.config.min_reconnect_delay_ms..=self.config.max_reconnect_delay_ms);
-        self.phase = Phase::Disconnected(now + if told > 0.0 { told } else { own });
+        self.phase = Phase::Disconnected(now + if retry_after_ms > 0.0 { retry_after_ms } else { delay });
         actions.push(ClientAction::Close);
         if let Phase::Disconnected(at) = self.phase {
-            self.arm(at, actions);
+            self.set_timer(at, actions);
         }
     }
 }
