--- a/emulator/src/model/fluid/client.rs
+++ b/emulator/src/model/fluid/client.rs
@@ -1,4 +1,4 @@
-//! A client that wants one connection for a while, and comes next_attempt_at until it has had it.
+//! A client that needs one connection for some time, and reconnects until that time is over.
 
 use super::super::Millis;
 use rand::Rng;
@@ -6,17 +6,17 @@
 /// A class of connections.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Part of all clients.
+    /// Share of all clients.
     pub share: f64,
-    /// Worth of a second.
+    /// Value of a second of an established connection.
     pub value: f64,
-    /// Mean load, in standard cores.
+    /// Mean load of a connection, in standard cores.
     pub load: f64,
-    /// Work in ms to set one up.
+    /// Work to set up a connection, in ms of one standard core.
     pub setup_work_ms: f64,
-    /// A message is to be answered within this, in ms.
+    /// Goal for the delay of the answer to a message, in ms.
     pub message_goal_ms: Millis,
-    /// How often a message's usual time goes into that.
+    /// Ratio of that goal to the delay at an idle server.
     pub goal_to_usual_ratio: f64,
 }
 
@@ -33,55 +33,56 @@
     }
 }
 
-/// How clients behave.
+/// When clients reconnect.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReconnectPolicy {
-    /// This part of them heeds advice when to come next_attempt_at.
+    /// Share of rejections in which the client obeys the retry delay that the balancer asks for.
     pub honors_retry_after_ratio: f64,
-    /// Who was cut off comes next_attempt_at after between so many ms.
+    /// Minimum and maximum delay after a lost connection or a failed request, in ms.
     pub reconnect_delay_ms: (Millis, Millis),
-    /// Who was refused, or found nobody, comes next_attempt_at after between so many ms, longer each time.
+    /// Minimum and maximum delay after a rejection, or when no balancer was reachable, in ms. Doubles with each
+    /// failure in a row, up to eightfold.
     pub backoff_ms: (Millis, Millis),
-    /// Who was asked to move comes next_attempt_at after between so many ms.
+    /// Minimum and maximum delay after `MOVE`, in ms.
     pub move_delay_ms: (Millis, Millis),
-    /// A try is given up after so many ms.
+    /// Maximum duration of an attempt, in ms.
     pub attempt_timeout_ms: Millis,
 }
 
-/// Why a client has to come next_attempt_at.
+/// Why a client has to reconnect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ReconnectReason {
-    /// Cut off, or failed.
+    /// The connection was lost or the request failed.
     Disconnected,
-    /// Rejected, with advice in ms; 0 for none.
+    /// The request was rejected, with a delay in ms after which to retry; 0 for none.
     Rejected(Millis),
-    /// Unreachable was there.
+    /// No balancer was reachable.
     Unreachable,
-    /// Asked to move.
+    /// The balancer asked the client to reconnect.
     Moved,
 }
 
 /// A client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Client {
-    /// Its zone.
+    /// Zone of the client.
     pub zone: usize,
-    /// Its class.
+    /// Class of its connection.
     pub class: usize,
-    /// Its group; 0 for none.
+    /// Affinity group of the client; 0 for none.
     pub group: u64,
-    /// Its connection's load now, in standard cores.
+    /// Current load of its connection, in standard cores.
     pub load: f64,
-    /// It wants its connection from then ...
+    /// Start of the time in which the client needs a connection.
     pub from: Millis,
-    /// ... until then.
+    /// End of the time in which the client needs a connection.
     pub until: Millis,
-    /// Tries in a row that came to nothing.
+    /// Number of failures in a row.
     pub failures: u32,
 }
 
 impl Client {
-    /// When it comes next_attempt_at, as of `now`; `None` once it is done.
+    /// Returns the time of the next attempt, or `None` if the client needs no connection any more by then.
     pub fn next_attempt_at(
         &mut self,
         now: Millis,
@@ -89,24 +90,24 @@
         policy: &ReconnectPolicy,
         rng: &mut impl Rng,
     ) -> Option<Millis> {
-        let mut between = |(low, high): (Millis, Millis)| low + (high - low) * rng.random::<f64>();
-        let wait = match reason {
-            ReconnectReason::Moved => between(policy.move_delay_ms),
-            ReconnectReason::Disconnected => between(policy.reconnect_delay_ms),
+        let mut draw = |(low, high): (Millis, Millis)| low + (high - low) * rng.random::<f64>();
+        let delay = match reason {
+            ReconnectReason::Moved => draw(policy.move_delay_ms),
+            ReconnectReason::Disconnected => draw(policy.reconnect_delay_ms),
             ReconnectReason::Rejected(_) | ReconnectReason::Unreachable => {
                 self.failures += 1;
-                between(policy.backoff_ms) * f64::from(1u32 << self.failures.min(4).saturating_sub(1))
+                draw(policy.backoff_ms) * f64::from(1u32 << self.failures.min(4).saturating_sub(1))
             }
         };
-        let advised = match reason {
-            ReconnectReason::Rejected(advice)
-                if advice > 0.0 && rng.random::<f64>() < policy.honors_retry_after_ratio =>
+        let requested = match reason {
+            ReconnectReason::Rejected(requested_ms)
+                if requested_ms > 0.0 && rng.random::<f64>() < policy.honors_retry_after_ratio =>
             {
-                advice
+                requested_ms
             }
             _ => 0.0,
         };
-        Some(now + wait.max(advised)).filter(|at| *at < self.until)
+        Some(now + delay.max(requested)).filter(|at| *at < self.until)
     }
 }
 
@@ -117,7 +118,7 @@
     use rand::rngs::SmallRng;
 
     #[test]
-    fn it_comes_again_until_it_is_done_and_later_after_each_refusal() {
+    fn reconnects_back_off_after_rejections_and_stop_at_the_end() {
         let policy = ReconnectPolicy {
             honors_retry_after_ratio: 1.0,
             reconnect_delay_ms: (100.0, 200.0),
--- a/emulator/src/model/fluid/server.rs
+++ b/emulator/src/model/fluid/server.rs
@@ -1,64 +1,64 @@
-//! A config server under load.
+//! The load on a server and what the server does under overload.
 
 use super::super::Millis;
 use rand::Rng;
 
-/// A connection is new for so many ms.
+/// Age up to which [`Server::drops_new`] drops a connection.
 const NEW_CONNECTION_MS: Millis = 400.0;
 
-/// What a config server is made of.
+/// Properties of a server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerConfig {
-    /// Its zone.
+    /// Zone of the server.
     pub zone: usize,
-    /// Its size as registered, in standard cores.
+    /// Capacity as listed by discovery, in standard cores.
     pub weight: f64,
-    /// What it truly does when warm, in standard cores.
+    /// Actual capacity after slow start, in standard cores.
     pub cores: f64,
-    /// Connections that it holds at max_connections.
+    /// Maximum number of connections.
     pub max_connections: usize,
-    /// A new connection that would wait longer than this, in ms, is turned away.
+    /// Maximum time that a new connection may have to wait, in ms, before it is rejected.
     pub max_setup_wait_ms: Millis,
-    /// With more than this backlog_ms up, in ms of all it can do, it drops its newest connection.
+    /// Backlog beyond which an overloaded server drops its newest connection, in ms at its current capacity.
     pub max_backlog_ms: Millis,
-    /// Part of its capacity that it has when it starts ...
+    /// Share of its capacity that a server has when it starts.
     pub initial_capacity_ratio: f64,
-    /// ... and the time in ms until it has all of it.
+    /// Duration of slow start, in ms: the time until the server has its full capacity.
     pub warm_up_ms: Millis,
-    /// What it pays for each group that it holds any connection of, in standard cores.
+    /// Load of each group with at least one connection, in standard cores, on top of the load of its connections.
     pub group_load: f64,
 }
 
-/// Where a config server is in its life.
+/// State of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It serves.
+    /// Serves connections and accepts new ones.
     Up,
-    /// It finishes what it has.
+    /// Serves its connections and accepts no new ones.
     Draining,
-    /// It is gone, or not back yet.
+    /// Does not run.
     Down,
 }
 
-/// How it answers a new connection.
+/// Answer to a new connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Answer {
-    /// It stands, after so many ms.
+    /// Established after this many ms.
     Up(Millis),
-    /// Turned away unseen: draining, or the wait would be too long.
+    /// Rejected before any work was done, because the server drains or the wait would be too long.
     Busy,
     /// Failed.
     Err,
-    /// It has no place for another connection, or is down.
+    /// Refused: the server has the maximum number of connections, or is down.
     Refused,
 }
 
-/// What it says of itself.
+/// Load report of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Load asked over what it can do.
+    /// Utilization: load over current capacity.
     pub load: f64,
-    /// Connections held.
+    /// Number of connections.
     pub connections: f64,
 }
 
@@ -68,39 +68,42 @@
     class: usize,
     load: f64,
     group: u64,
-    since: Millis,
+    established_at: Millis,
 }
 
-/// A config server. Say [`Server::advance`] before anything else at a new time; the other calls do so
+/// A server. At a new time call [`Server::advance`] before the methods that take `&self`; the others call it
 /// themselves.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// What it is made of.
+    /// Properties of the server.
     pub config: ServerConfig,
-    /// Where it is in its life.
+    /// State of the server.
     pub phase: Phase,
-    /// It failure_ratio this part of new connections at once.
+    /// Share of new connections that fail immediately.
     pub failure_ratio: f64,
-    /// It does this part of what it should.
+    /// Factor on the capacity of the server; below 1 for a degraded server.
     pub speed_ratio: f64,
-    /// It drops each new connection soon after it has taken it.
+    /// Whether the server drops each new connection soon after it was established.
     pub drops_new: bool,
     started_at: Millis,
-    at: Millis,
+    advanced_to: Millis,
     connections: Vec<Connection>,
     load: f64,
+    /// Accumulated work, in ms of one standard core.
     backlog_ms: f64,
-    /// Seconds of connections whose messages were answered in time, by class.
+    /// Connection-seconds in which messages were answered in time, by class.
     on_time_seconds: Vec<f64>,
-    /// For each class, how much longer than an idle server's answer a message may take: aim over usual.
+    /// Ratio of the goal for message delays to the delay at an idle server, by class.
     goal_to_usual_ratio: Vec<f64>,
+    /// Goal for message delays, by class.
     message_goals_ms: Vec<Millis>,
     report: LoadReport,
+    /// Report that the next refresh publishes.
     next_report: LoadReport,
 }
 
 impl Server {
-    /// A server that started long ago, or at `started_at`. `classes` tells what messages may take.
+    /// Returns a server that started at `started_at`. `classes` gives the goals for message delays.
     #[must_use]
     pub fn new(config: ServerConfig, classes: &[super::Class], started_at: Millis, now: Millis) -> Self {
         Self {
@@ -110,95 +113,94 @@
             speed_ratio: 1.0,
             drops_new: false,
             started_at,
-            at: now,
+            advanced_to: now,
             connections: Vec::new(),
             load: 0.0,
             backlog_ms: 0.0,
             on_time_seconds: vec![0.0; classes.len()],
-            goal_to_usual_ratio: classes.iter().map(|c| c.goal_to_usual_ratio).collect(),
-            message_goals_ms: classes.iter().map(|c| c.message_goal_ms).collect(),
+            goal_to_usual_ratio: classes.iter().map(|class| class.goal_to_usual_ratio).collect(),
+            message_goals_ms: classes.iter().map(|class| class.message_goal_ms).collect(),
             report: LoadReport::default(),
             next_report: LoadReport::default(),
         }
     }
 
-    /// Part of its capacity that it has, for its age.
+    /// Returns the share of its capacity that the server has at its age.
     #[must_use]
     pub fn warm_up_ratio(&self, now: Millis) -> f64 {
         let age = ((now - self.started_at) / self.config.warm_up_ms).clamp(0.0, 1.0);
         self.config.initial_capacity_ratio + (1.0 - self.config.initial_capacity_ratio) * age
     }
 
-    /// What it can do now, in standard cores.
+    /// Returns the current capacity, in standard cores.
     #[must_use]
     pub fn capacity(&self, now: Millis) -> f64 {
         self.config.cores * self.speed_ratio * self.warm_up_ratio(now)
     }
 
-    /// When it last started.
+    /// Returns the time of the last start.
     #[must_use]
     pub fn started_at(&self) -> Millis {
         self.started_at
     }
 
-    /// Load asked over what it can do, as it truly is.
+    /// Returns the utilization: load over current capacity, without the noise and delay of load reports.
     #[must_use]
     pub fn utilization(&self, now: Millis) -> f64 {
         self.load / self.capacity(now)
     }
 
-    /// How long a message takes now, in ms, where it is to be answered within `goal_ms` and usually takes `goal_to_usual_ratio`
-    /// times less: longer the less there is free, and what is backlog_ms up goes first.
+    /// Returns the current delay of the answer to a message with this goal, in ms. It grows as the free capacity
+    /// shrinks, and the backlog is processed first.
     #[must_use]
     pub fn message_delay_ms(&self, now: Millis, goal_ms: Millis, goal_to_usual_ratio: f64) -> Millis {
         let free = (1.0 - self.utilization(now)).max(0.05);
         goal_ms / goal_to_usual_ratio / free + self.backlog_ms / self.capacity(now)
     }
 
-    /// Connections held.
+    /// Returns the number of connections.
     #[must_use]
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// The connection_ids of the connections held, oldest first.
+    /// Returns the ids of the connections, oldest first.
     pub fn connection_ids(&self) -> impl Iterator<Item = u64> + '_ {
         self.connections.iter().map(|connection| connection.id)
     }
 
-    /// True if it holds nothing.
+    /// Returns true if there are no connections.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.connections.is_empty()
     }
 
-    /// Lets time pass.
+    /// Advances the model to `now`.
     pub fn advance(&mut self, now: Millis) {
-        let passed = now - self.at;
-        if passed <= 0.0 {
+        let elapsed = now - self.advanced_to;
+        if elapsed <= 0.0 {
             return;
         }
-        self.at = now;
+        self.advanced_to = now;
         if self.phase == Phase::Down {
             return;
         }
         let capacity = self.capacity(now);
-        // A fuller table takes more of what it can do.
-        let room = (capacity - self.load).max(0.0);
+        let free = (capacity - self.load).max(0.0);
         for connection in &self.connections {
             let late = self.backlog_ms / capacity > self.message_goals_ms[connection.class];
             let utilization = self.load / capacity;
-            let in_time = 1.0 - (-self.goal_to_usual_ratio[connection.class] * (1.0 - utilization)).exp();
-            let share = if late || utilization >= 1.0 { 0.0 } else { in_time };
-            self.on_time_seconds[connection.class] += share * passed / 1_000.0;
+            let on_time = 1.0 - (-self.goal_to_usual_ratio[connection.class] * (1.0 - utilization)).exp();
+            let share = if late || utilization >= 1.0 { 0.0 } else { on_time };
+            self.on_time_seconds[connection.class] += share * elapsed / 1_000.0;
         }
-        self.backlog_ms += (self.load - capacity) * passed;
-        if self.backlog_ms <= 0.0 || (room > 0.0 && self.backlog_ms < 1e-9) {
+        self.backlog_ms += (self.load - capacity) * elapsed;
+        if self.backlog_ms <= 0.0 || (free > 0.0 && self.backlog_ms < 1e-9) {
             self.backlog_ms = 0.0;
         }
     }
 
-    /// Work that took its time: a new connection's, or a probe's.
+    /// Adds work to the backlog, such as the setup of a connection or a probe.
     pub fn add_work(&mut self, now: Millis, work_ms: f64) {
         self.advance(now);
         if self.phase != Phase::Down {
@@ -206,37 +208,37 @@
         }
     }
 
-    /// How it answers a new connection that takes so much work to set up.
+    /// Handles a new connection that takes `work_ms` to set up.
     pub fn open(&mut self, now: Millis, work_ms: f64, rng: &mut impl Rng) -> Answer {
         self.advance(now);
         if self.phase == Phase::Down || self.connections.len() >= self.config.max_connections {
             return Answer::Refused;
         }
-        let wait = self.backlog_ms / self.capacity(now);
-        if self.phase == Phase::Draining || wait > self.config.max_setup_wait_ms {
+        let wait_ms = self.backlog_ms / self.capacity(now);
+        if self.phase == Phase::Draining || wait_ms > self.config.max_setup_wait_ms {
             return Answer::Busy;
         }
         if self.failure_ratio > 0.0 && rng.random::<f64>() < self.failure_ratio {
             return Answer::Err;
         }
         self.backlog_ms += work_ms;
-        Answer::Up(wait + work_ms / self.speed_ratio / self.warm_up_ratio(now))
+        Answer::Up(wait_ms + work_ms / self.speed_ratio / self.warm_up_ratio(now))
     }
 
-    /// A connection stands from now on, of this group; 0 for none.
+    /// Adds an established connection, of this group; 0 for none.
     pub fn add_connection(&mut self, now: Millis, id: u64, class: usize, load: f64, group: u64) {
         self.advance(now);
-        self.load += load + self.group_cost(group);
-        self.connections.push(Connection { id, class, load, group, since: now });
+        self.load += load + self.group_load(group);
+        self.connections.push(Connection { id, class, load, group, established_at: now });
     }
 
-    /// What a group costs beyond its connections, as long as it holds none of them.
-    fn group_cost(&self, group: u64) -> f64 {
-        let held = group == 0 || self.connections.iter().any(|connection| connection.group == group);
-        if held { 0.0 } else { self.config.group_load }
+    /// Returns the load that the first connection of a group adds, or 0 if the group has a connection already.
+    fn group_load(&self, group: u64) -> f64 {
+        let paid = group == 0 || self.connections.iter().any(|connection| connection.group == group);
+        if paid { 0.0 } else { self.config.group_load }
     }
 
-    /// A connection's load has changed.
+    /// Changes the load of a connection.
     pub fn set_connection_load(&mut self, now: Millis, id: u64, load: f64) {
         self.advance(now);
         if let Some(connection) = self.connections.iter_mut().find(|connection| connection.id == id) {
@@ -245,33 +247,33 @@
         }
     }
 
-    /// A connection has ended. True if it was held.
+    /// Removes a connection. Returns true if there was one with this id.
     pub fn remove_connection(&mut self, now: Millis, id: u64) -> bool {
         self.advance(now);
-        let Some(at) = self.connections.iter().position(|connection| connection.id == id) else {
+        let Some(index) = self.connections.iter().position(|connection| connection.id == id) else {
             return false;
         };
-        let Connection { load, group, .. } = self.connections.remove(at);
-        self.load -= load + self.group_cost(group);
+        let Connection { load, group, .. } = self.connections.remove(index);
+        self.load -= load + self.group_load(group);
         if self.connections.is_empty() {
             self.load = 0.0;
         }
         true
     }
 
-    /// The connection that it drops now, if too much is backlog_ms up: the newest.
+    /// Drops the newest connection if the backlog is too large or if the server drops new connections. Returns its id.
     pub fn shed_newest(&mut self, now: Millis) -> Option<u64> {
         self.advance(now);
-        let over = self.backlog_ms / self.capacity(now) > self.config.max_backlog_ms
+        let overloaded = self.backlog_ms / self.capacity(now) > self.config.max_backlog_ms
             && self.load > self.capacity(now);
         let newest = self.connections.last()?;
-        let new = self.drops_new && now - newest.since < NEW_CONNECTION_MS;
-        let newest = Some(newest.id).filter(|_| over || new)?;
+        let drop_new = self.drops_new && now - newest.established_at < NEW_CONNECTION_MS;
+        let newest = Some(newest.id).filter(|_| overloaded || drop_new)?;
         self.remove_connection(now, newest);
         Some(newest)
     }
 
-    /// It stops: what it held is cut off.
+    /// Stops the server. Returns the ids of its connections, which are lost.
     pub fn stop(&mut self, now: Millis) -> Vec<u64> {
         self.advance(now);
         self.phase = Phase::Down;
@@ -280,7 +282,7 @@
         self.connections.drain(..).map(|connection| connection.id).collect()
     }
 
-    /// It starts again, cold.
+    /// Starts the server again, in slow start.
     pub fn start(&mut self, now: Millis) {
         self.advance(now);
         self.phase = Phase::Up;
@@ -288,8 +290,8 @@
         (self.report, self.next_report) = (LoadReport::default(), LoadReport::default());
     }
 
-    /// Makes its report anew, off by up to `noise` of it. What was made before is told from now on:
-    /// reports are a while under way.
+    /// Publishes the report of the previous refresh and prepares the next one, off by up to the share `noise`. The
+    /// delay of one refresh stands for the time that reports are in transit.
     pub fn refresh_report(&mut self, now: Millis, noise: f64, rng: &mut impl Rng) {
         self.advance(now);
         self.report = self.next_report;
@@ -297,13 +299,13 @@
         self.next_report = LoadReport { load, connections: self.connections.len() as f64 };
     }
 
-    /// What it says of itself to who asks now.
+    /// Returns the latest published report.
     #[must_use]
     pub fn report(&self) -> LoadReport {
         self.report
     }
 
-    /// Seconds of connections answered in time so far, by class.
+    /// Returns the connection-seconds so far in which messages were answered in time, by class.
     pub fn on_time_seconds(&mut self, now: Millis) -> &[f64] {
         self.advance(now);
         &self.on_time_seconds
@@ -338,13 +340,13 @@
     }
 
     #[test]
-    fn one_that_has_more_than_it_can_do_earns_nothing_and_drops_its_newest() {
+    fn an_overloaded_server_answers_nothing_in_time_and_drops_its_newest_connection() {
         let mut server = server();
         server.add_connection(0.0, 1, 0, 3.0, 0);
         let before = server.on_time_seconds(1_000.0)[0];
         assert!(before > 0.8, "{before}");
         server.add_connection(1_000.0, 2, 0, 3.0, 0);
-        // Two cores short, in which a second of all four piles up in two seconds.
+        // With 6 cores of load on 4, the backlog limit of 1 s is exceeded after 2 s.
         assert_eq!(server.shed_newest(2_900.0), None);
         let later = server.on_time_seconds(2_900.0)[0];
         assert_eq!(server.shed_newest(3_100.0), Some(2));
@@ -353,7 +355,7 @@
     }
 
     #[test]
-    fn a_group_is_paid_for_once_as_long_as_any_of_it_is_held() {
+    fn a_group_adds_its_load_once_while_it_has_connections() {
         let mut server = server();
         server.add_connection(0.0, 1, 0, 0.4, 7);
         server.add_connection(0.0, 2, 0, 0.4, 7);
@@ -371,7 +373,7 @@
     }
 
     #[test]
-    fn one_that_drops_new_connections_keeps_the_old() {
+    fn a_server_that_drops_new_connections_keeps_the_old() {
         let mut server = server();
         server.add_connection(0.0, 1, 0, 0.1, 0);
         server.drops_new = true;
@@ -381,7 +383,7 @@
     }
 
     #[test]
-    fn a_cold_one_can_do_little_and_warms_up() {
+    fn capacity_grows_from_its_initial_share_during_slow_start() {
         let mut server = server();
         server.stop(0.0);
         server.start(0.0);
@@ -391,7 +393,7 @@
     }
 
     #[test]
-    fn a_report_tells_of_the_time_before() {
+    fn a_report_shows_the_state_at_the_previous_refresh() {
         let (mut server, mut rng) = (server(), SmallRng::seed_from_u64(1));
         server.add_connection(0.0, 1, 0, 2.0, 0);
         server.refresh_report(0.0, 0.0, &mut rng);
@@ -401,7 +403,7 @@
     }
 
     #[test]
-    fn one_that_is_full_down_or_draining_takes_nothing() {
+    fn a_full_draining_or_stopped_server_accepts_nothing() {
         let (mut server, mut rng) = (server(), SmallRng::seed_from_u64(1));
         assert!(matches!(server.open(0.0, 10.0, &mut rng), Answer::Up(_)));
         server.config.max_connections = 0;
--- a/emulator/src/model/lease_replica.rs
+++ b/emulator/src/model/lease_replica.rs
@@ -22,15 +22,19 @@
 
 #[derive(Debug)]
 struct Record {
+    /// Highest ballot that was promised or accepted. Lower ballots are refused.
     promised: Ballot,
     owner: u64,
     released: bool,
     holder: Option<Holder>,
+    /// Ballot under which the journal was written.
     written: Ballot,
     configuration: u32,
     journal: Journal,
+    /// Latest epoch that the client has confirmed. Claims with older tokens are refused.
     confirmed: u64,
     pointers: Vec<Pointer>,
+    /// Time to keep the record after its last use, once its owner's lease has expired.
     keep_ms: Millis,
     touched_at: Millis,
 }
