--- a/emulator/src/platform/clients.rs
+++ b/emulator/src/platform/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of the platform: each opens once, waits for its answer, talks for a while and leaves.
+//! Clients that connect once: each sends a request, waits for its answer, exchanges messages for a while and leaves.
 
 use super::servers::pause;
 use super::{Note, NoteLog};
@@ -9,24 +9,24 @@
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
-/// How the clients of a run behave.
+/// The clients of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientPopulation {
-    /// How many come ...
+    /// Number of clients.
     pub count: usize,
-    /// ... evenly over so many ms.
+    /// Time over which the clients arrive, evenly spaced, in ms.
     pub arrival_ms: f64,
-    /// Their classes by name, each with the time in ms that its clients wait.
+    /// Classes by name, each with the time in ms that its clients wait for an answer.
     pub classes: Vec<(String, f64)>,
-    /// Their tenants by name; may be empty.
+    /// Tenants by name; may be empty.
     pub tenants: Vec<String>,
-    /// They belong to so many group_count; 0 for none.
+    /// Number of affinity groups; 0 for none.
     pub group_count: u64,
-    /// Those that were served stay for so many ms at most.
+    /// Maximum time that a client stays connected, in ms.
     pub max_stay_ms: f64,
 }
 
-/// Plays all clients against a balancer; done when the last one is.
+/// Runs all clients against a balancer, until the last one has left.
 pub async fn run_clients(
     log: Rc<NoteLog>,
     balancer: SocketAddr,
@@ -34,7 +34,7 @@
     rng: &mut SmallRng,
 ) {
     let mut clients = Vec::new();
-    for n in 0..population.count {
+    for number in 0..population.count {
         let (class, wait_ms) = &population.classes[rng.random_range(0..population.classes.len())];
         let mut fields = format!("c={class}");
         if !population.tenants.is_empty() {
@@ -45,12 +45,12 @@
         }
         let id = rng.random::<u64>();
         let line = format!("OPEN {id:016x} {:016x} {fields},d={wait_ms:.0}\r\n", rng.random::<u64>());
-        let from = n as f64 / population.count as f64 * population.arrival_ms;
-        let stay = population.max_stay_ms * rng.random::<f64>();
+        let start_ms = number as f64 / population.count as f64 * population.arrival_ms;
+        let stay_ms = population.max_stay_ms * rng.random::<f64>();
         let (log, wait_ms) = (log.clone(), *wait_ms);
         clients.push(tokio::task::spawn_local(async move {
-            pause(from).await;
-            let _ = client(&log, balancer, id, &line, wait_ms, stay).await;
+            pause(start_ms).await;
+            let _ = run_client(&log, balancer, id, &line, wait_ms, stay_ms).await;
         }));
     }
     for client in clients {
@@ -58,7 +58,7 @@
     }
 }
 
-async fn client(
+async fn run_client(
     log: &NoteLog,
     balancer: SocketAddr,
     id: u64,
@@ -71,24 +71,24 @@
     stream.write_all(line.as_bytes()).await?;
     log.record(Note::Asked { id, wait_ms });
     let mut answer = String::new();
-    // Longer than it says: what comes late is to be seen as late, and what never comes as missing.
+    // Waits longer than the request says, so that a late answer is recorded as late instead of missing.
     let answered = tokio::select! {
         read = stream.read_line(&mut answer) => read.map_or(0, |read| read) > 0,
         () = pause(wait_ms + 2_000.0) => return Ok(()),
     };
     let answer = if answered { answer.trim_end().to_owned() } else { "(end)".to_owned() };
-    let up = answer.starts_with("UP ");
+    let accepted = answer.starts_with("UP ");
     log.record(Note::Answered { id, line: answer });
-    if !up {
+    if !accepted {
         return Ok(());
     }
     let until = log.now() + stay_ms;
-    let mut said = 0;
+    let mut message_count = 0;
     while log.now() < until {
-        said += 1;
-        stream.write_all(format!("field {said}\r\n").as_bytes()).await?;
-        let mut back = String::new();
-        if stream.read_line(&mut back).await? == 0 || back.starts_with("MOVE") {
+        message_count += 1;
+        stream.write_all(format!("field {message_count}\r\n").as_bytes()).await?;
+        let mut reply = String::new();
+        if stream.read_line(&mut reply).await? == 0 || reply.starts_with("MOVE") {
             return Ok(());
         }
         pause(150.0).await;
--- a/emulator/src/platform/discovery.rs
+++ b/emulator/src/platform/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery by HTTP: asked by the balancer, or an agent on its machine that pushes.
+//! Discovery over HTTP: the service that the balancer queries, or the agent on its machine that pushes the list.
 
 use super::servers::pause;
 use super::{Note, NoteLog, Server};
@@ -9,17 +9,17 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 
-/// A watch brings an empty line this often while nothing changes, in ms.
+/// Interval at which a watch sends an empty line while nothing changes, in ms.
 const WATCH_HEARTBEAT_MS: f64 = 2_000.0;
 
-/// How a form host is listed.
+/// State of a server in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It takes new connections.
+    /// The server accepts new connections.
     Serving,
-    /// It finishes what it has.
+    /// The server finishes its connections.
     Draining,
-    /// It is gone.
+    /// The server is gone.
     Deleted,
 }
 
@@ -33,43 +33,44 @@
     }
 }
 
-/// Discovery of some form hosts.
+/// Discovery of a set of servers.
 pub struct Discovery {
     log: Rc<NoteLog>,
-    hosts: Vec<Rc<Server>>,
+    servers: Vec<Rc<Server>>,
     zones: Vec<String>,
     states: RefCell<Vec<State>>,
     rev: Cell<u64>,
     changed: Notify,
-    /// It learns nothing and says nothing.
+    /// Whether discovery does not respond.
     down: Cell<bool>,
     address: SocketAddr,
-    /// It claims to have told what it keeps to itself: a fault that the check has to find.
-    withholds_drains: bool,
+    /// An injected bug: changes are recorded as sent but never sent. [`super::rules::check`] has to detect it.
+    withholds_updates: bool,
 }
 
 impl Discovery {
-    /// Discovery of these, in zones by turns. `withholds_drains` plants a fault: drains are noted as told and never written.
+    /// Starts discovery of these servers, which are assigned to the zones in turn. `withholds_updates` injects a bug:
+    /// changes are recorded as sent but never sent.
     ///
     /// # Errors
     /// Fails if no address is free.
     pub async fn start(
         log: Rc<NoteLog>,
-        hosts: Vec<Rc<Server>>,
+        servers: Vec<Rc<Server>>,
         zones: Vec<String>,
-        withholds_drains: bool,
+        withholds_updates: bool,
     ) -> std::io::Result<Rc<Self>> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let this = Rc::new(Self {
             log,
-            states: RefCell::new(vec![State::Serving; hosts.len()]),
-            hosts,
+            states: RefCell::new(vec![State::Serving; servers.len()]),
+            servers,
             zones,
             rev: Cell::new(41),
             changed: Notify::new(),
             down: Cell::new(false),
             address: listener.local_addr()?,
-            withholds_drains,
+            withholds_updates,
         });
         let discovery = this.clone();
         tokio::task::spawn_local(async move {
@@ -83,31 +84,31 @@
         Ok(this)
     }
 
-    /// Where it is called.
+    /// Returns the address of the service.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// A form host is so from now on.
-    pub fn set_state(&self, host: usize, state: State) {
-        self.states.borrow_mut()[host] = state;
-        if self.withholds_drains {
-            self.log.record(Note::Told { host, state });
+    /// Changes the state of a server.
+    pub fn set_state(&self, server: usize, state: State) {
+        self.states.borrow_mut()[server] = state;
+        if self.withholds_updates {
+            self.log.record(Note::Told { host: server, state });
             return;
         }
         self.rev.set(self.rev.get() + 1);
         self.changed.notify_waiters();
     }
 
-    /// It is down from now on, or back. While it is down it neither answers nor says that nothing has changed; what
-    /// has changed meanwhile is told at its return.
+    /// Stops or resumes all responses. While discovery is down it sends neither responses nor heartbeats; changes
+    /// meanwhile are sent once it resumes.
     pub fn set_down(&self, down: bool) {
         self.down.set(down);
         self.changed.notify_waiters();
     }
 
-    async fn up(&self) {
+    async fn wait_until_up(&self) {
         loop {
             let changed = self.changed.notified();
             if !self.down.get() {
@@ -117,63 +118,64 @@
         }
     }
 
-    /// The list as it is now, whole.
+    /// Returns the current full list.
     #[must_use]
     pub fn list(&self) -> String {
-        let entry = |(n, host): (usize, &Rc<Server>)| {
+        let entry = |(n, server): (usize, &Rc<Server>)| {
             let state = self.states.borrow()[n];
             (state != State::Deleted).then(|| {
                 format!(
                     r#"{{"uid":"s-{n}","endpoint":"{}","az":"{}","model":"m","pod_group":{},"state":"{}","capacity_hint":1.0,"boot_ms":0}}"#,
-                    host.address(),
+                    server.address(),
                     self.zones[n % self.zones.len()],
                     n / 2,
                     state.word()
                 )
             })
         };
-        let targets: Vec<_> = self.hosts.iter().enumerate().filter_map(entry).collect();
+        let targets: Vec<_> = self.servers.iter().enumerate().filter_map(entry).collect();
         format!(r#"{{"rev":{},"all":true,"targets":[{}]}}"#, self.rev.get(), targets.join(","))
     }
 
-    /// Notes what a list that was written has told; what was told before stays told from then.
-    fn note(&self, told: &mut [State]) {
-        for (host, state) in self.states.borrow().iter().enumerate() {
-            if told[host] != *state {
-                told[host] = *state;
-                self.log.record(Note::Told { host, state: *state });
+    /// Records the states in a written list that differ from the previous list on this connection. A state that is
+    /// recorded again counts from its first record.
+    fn record_states(&self, listed: &mut [State]) {
+        for (server, state) in self.states.borrow().iter().enumerate() {
+            if listed[server] != *state {
+                listed[server] = *state;
+                self.log.record(Note::Told { host: server, state: *state });
             }
         }
     }
 
     async fn serve(&self, stream: TcpStream) -> std::io::Result<()> {
         let mut stream = BufReader::new(stream);
-        let mut call = String::new();
-        stream.read_line(&mut call).await?;
+        let mut request = String::new();
+        stream.read_line(&mut request).await?;
         let mut line = String::new();
         while stream.read_line(&mut line).await? > 0 && !line.trim_end().is_empty() {
             line.clear();
         }
-        self.up().await;
-        let mut told = vec![State::Serving; self.hosts.len()];
-        if !call.contains("watch=1") {
+        self.wait_until_up().await;
+        let mut listed = vec![State::Serving; self.servers.len()];
+        if !request.contains("watch=1") {
             let body = self.list();
-            let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-            stream.write_all(head.as_bytes()).await?;
-            self.note(&mut told);
+            let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+            stream.write_all(response.as_bytes()).await?;
+            self.record_states(&mut listed);
             return Ok(());
         }
         stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
-        let mut written = 0;
+        let mut sent_rev = 0;
         loop {
-            self.up().await;
+            self.wait_until_up().await;
             let changed = self.changed.notified();
-            let news = self.rev.get() != written;
-            let text = if news { self.list() } else { String::new() };
-            written = self.rev.get();
+            let has_changed = self.rev.get() != sent_rev;
+            let text = if has_changed { self.list() } else { String::new() };
+            sent_rev = self.rev.get();
             stream.write_all(format!("{:x}\r\n{text}\n\r\n", text.len() + 1).as_bytes()).await?;
-            if news && !self.withholds_drains {
-                self.note(&mut told);
+            if has_changed && !self.withholds_updates {
+                self.record_states(&mut listed);
             }
             tokio::select! {
                 () = changed => {}
--- a/emulator/src/platform/mixed.rs
+++ b/emulator/src/platform/mixed.rs
@@ -1,4 +1,4 @@
-//! Clients of many kinds, among them such that leave, stop in the middle of a line, or rest until they are ended.
+//! Clients of several kinds, including those that disconnect early, stop in the middle of their request or stay idle.
 
 use super::servers::pause;
 use super::{Note, NoteLog};
@@ -12,39 +12,39 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// The process that a request goes to stands in its id from this bit on.
+/// Position of the balancer process in the id of a request: its bits from this one on.
 pub const PROCESS_SHIFT: u32 = 48;
-/// The class of a request stands in its id from this bit on, in four bits.
+/// Position of the class in the id of a request: the four bits from this one on.
 pub const CLASS_SHIFT: u32 = 44;
-/// A client that waits for its answer does so for longer than it says, so that a late one is seen.
+/// Time that a client waits beyond the wait time in its request, so that a late answer is recorded.
 const EXTRA_WAIT_MS: Millis = 1_500.0;
-/// A client says something this often.
+/// Delay between a reply and the next message of a client.
 const MESSAGE_INTERVAL_MS: Millis = 150.0;
-/// A client that writes in pieces waits so long after each at most.
+/// Maximum delay after each piece of a request that is sent in pieces.
 const MAX_PIECE_DELAY_MS: Millis = 60.0;
-/// A client leaves an established connection that brings nothing back for so long.
+/// Maximum time to wait for the reply to a message before the client leaves.
 const REPLY_TIMEOUT_MS: Millis = 3_000.0;
-/// A client that stopped in the middle of its line waits so long to be ended.
+/// Maximum time that a client that stopped in the middle of its request waits for the balancer to release it.
 const RELEASE_TIMEOUT_MS: Millis = 5_000.0;
 
 /// What a client does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientKind {
-    /// It asks, and then talks until it is moved or has said enough.
+    /// Sends a request, and then messages until it is moved or its stay ends.
     Talks,
-    /// It asks, and then says nothing until it is ended.
+    /// Sends a request, and then nothing until its connection is closed or its stay ends.
     Idles,
-    /// It leaves before it may have had its answer.
+    /// Disconnects shortly after its request, possibly before the answer.
     Leaves,
-    /// It writes its line in pieces.
+    /// Sends its request in pieces.
     WritesInPieces,
-    /// It stops in the middle of its line and stays.
+    /// Stops in the middle of its request and stays connected.
     StopsMidLine,
-    /// It sends the last byte of its line in the instant in which its balancer is told to end.
+    /// Sends the last byte of its request at the moment its balancer is signaled to shut down.
     CompletesAtShutdown,
 }
 
-/// All kinds.
+/// All kinds of clients.
 pub const ALL_CLIENT_KINDS: [ClientKind; 6] = [
     ClientKind::Talks,
     ClientKind::Idles,
@@ -54,31 +54,31 @@
     ClientKind::CompletesAtShutdown,
 ];
 
-/// One balancer as its clients see it.
+/// A balancer process as seen by its clients.
 #[derive(Debug)]
 pub struct BalancerEndpoint {
-    /// Its number.
+    /// Number of the process.
     pub process: usize,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Whether new connections are sent there.
+    /// Whether new connections go to this process.
     pub accepts_connections: Cell<bool>,
-    /// Told when it is sent SIGTERM.
+    /// Notified when the process receives SIGTERM.
     pub shutdown: Notify,
 }
 
-/// A class of requests as its clients know it.
+/// A class of requests as seen by its clients.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientClass {
-    /// Its number in the settings.
+    /// Number of the class in the settings.
     pub number: u8,
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// How long its clients wait.
+    /// Time that its clients wait for an answer, in ms.
     pub wait_ms: Millis,
 }
 
-/// One client's connection.
+/// A client with one connection.
 pub struct MixedClient {
     log: Rc<NoteLog>,
     endpoint: Rc<BalancerEndpoint>,
@@ -89,7 +89,7 @@
 }
 
 impl MixedClient {
-    /// A client of this kind.
+    /// Returns a client of this kind.
     #[must_use]
     pub fn new(
         log: Rc<NoteLog>,
@@ -98,12 +98,14 @@
         kind: ClientKind,
         mut rng: SmallRng,
     ) -> Self {
-        let low = rng.random::<u64>() >> (u64::BITS - CLASS_SHIFT);
-        let id = (endpoint.process as u64) << PROCESS_SHIFT | u64::from(class.number) << CLASS_SHIFT | low;
+        let low_bits = rng.random::<u64>() >> (u64::BITS - CLASS_SHIFT);
+        let id =
+            (endpoint.process as u64) << PROCESS_SHIFT | u64::from(class.number) << CLASS_SHIFT | low_bits;
         Self { log, endpoint, class, kind, id, rng }
     }
 
-    /// Connects, asks and stays as its kind does. A connection that breaks has been noted.
+    /// Connects, sends a request and stays as its kind does. Errors of the connection are ignored: what happened has
+    /// been recorded by then.
     pub async fn run(mut self, stay_ms: Millis) {
         let Ok(stream) = TcpStream::connect(self.endpoint.address).await else { return };
         if stream.set_nodelay(true).is_err() {
@@ -113,17 +115,17 @@
         let mut stream = BufReader::new(stream);
         let ClientClass { name, wait_ms, .. } = &self.class;
         let line = format!("OPEN {:016x} {:016x} c={name},d={wait_ms:.0}\r\n", self.id, self.id >> 3);
-        // Who can't write is not heard, and has asked for nothing.
+        // A client that fails to send its request has recorded none.
         let _ = match self.kind {
             ClientKind::StopsMidLine => self.stop_mid_line(&mut stream, &line).await,
-            ClientKind::Leaves => self.leave(&mut stream, &line).await,
-            _ => self.ask_and_stay(&mut stream, &line, stay_ms).await,
+            ClientKind::Leaves => self.leave_early(&mut stream, &line).await,
+            _ => self.open_and_stay(&mut stream, &line, stay_ms).await,
         };
     }
 
     async fn stop_mid_line(&mut self, stream: &mut BufReader<TcpStream>, line: &str) -> std::io::Result<()> {
-        let part = self.rng.random_range(1..line.len() - 1);
-        stream.write_all(&line.as_bytes()[..part]).await?;
+        let length = self.rng.random_range(1..line.len() - 1);
+        stream.write_all(&line.as_bytes()[..length]).await?;
         self.log.record(Note::StoppedMidLine { id: self.id });
         let mut answer = String::new();
         tokio::select! {
@@ -133,19 +135,19 @@
         Ok(())
     }
 
-    async fn leave(&mut self, stream: &mut BufReader<TcpStream>, line: &str) -> std::io::Result<()> {
+    async fn leave_early(&mut self, stream: &mut BufReader<TcpStream>, line: &str) -> std::io::Result<()> {
         stream.write_all(line.as_bytes()).await?;
         self.log.record(Note::Asked { id: self.id, wait_ms: self.class.wait_ms });
         let mut answer = String::new();
-        let after = self.class.wait_ms.min(250.0) * self.rng.random::<f64>();
+        let leave_after_ms = self.class.wait_ms.min(250.0) * self.rng.random::<f64>();
         tokio::select! {
-            _ = stream.read_line(&mut answer) => self.answered(&answer),
-            () = pause(after) => self.log.record(Note::Left { id: self.id }),
+            _ = stream.read_line(&mut answer) => self.record_answer(&answer),
+            () = pause(leave_after_ms) => self.log.record(Note::Left { id: self.id }),
         }
         Ok(())
     }
 
-    async fn ask_and_stay(
+    async fn open_and_stay(
         &mut self,
         stream: &mut BufReader<TcpStream>,
         line: &str,
@@ -158,7 +160,7 @@
             _ = stream.read_line(&mut answer) => {}
             () = pause(self.class.wait_ms + EXTRA_WAIT_MS) => return Ok(()),
         }
-        self.answered(&answer);
+        self.record_answer(&answer);
         if answer.starts_with("UP ") {
             self.stay(stream, stay_ms).await?;
         }
@@ -206,14 +208,14 @@
                 () = pause(REPLY_TIMEOUT_MS) => return Ok(()),
             }
             if line.starts_with("UP ") {
-                self.answered(&line);
+                self.record_answer(&line);
             }
             pause(MESSAGE_INTERVAL_MS).await;
         }
         Ok(())
     }
 
-    fn answered(&self, answer: &str) {
+    fn record_answer(&self, answer: &str) {
         let line = if answer.ends_with('\n') { answer.trim_end().to_owned() } else { "(end)".to_owned() };
         self.log.record(Note::Answered { id: self.id, line });
     }
--- a/emulator/src/platform/mod.rs
+++ b/emulator/src/platform/mod.rs
@@ -1,6 +1,6 @@
-//! Plain stand-ins by the platform's protocol: form hosts, discovery (asked, or pushed by an agent) and clients
-//! on loopback sockets, on one thread and in real time; each writes what it sees into one [`NoteLog`], and
-//! [`rules::check`] reads nothing else.
+//! Emulated servers, discovery (pull, or push by an agent) and clients of plain connections on loopback sockets, on
+//! one thread and in real time. They record what they observe in a [`NoteLog`], which is all that [`rules::check`]
+//! reads.
 
 mod clients;
 mod discovery;
@@ -22,83 +22,83 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Something that a stand-in has seen.
+/// An observation of a server, client or discovery.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Note {
-    /// A client has written its line, and waits for so many ms.
+    /// A client has sent its request.
     Asked {
-        /// The id in the line.
+        /// Id of the request.
         id: u64,
-        /// How long it waits.
+        /// Time that the client waits for the answer.
         wait_ms: Millis,
     },
-    /// The first line that came back, or "(end)".
+    /// A client has received the first line of the answer, or "(end)" if the connection ended without one.
     Answered {
-        /// The id in the client's line.
+        /// Id of the request.
         id: u64,
         /// The line.
         line: String,
     },
-    /// A line has come to a form host. Counted from its first byte, at `since`.
+    /// A request has arrived at a server.
     Sent {
-        /// The id in the line.
+        /// Id of the request.
         id: u64,
-        /// Which form host.
+        /// Index of the server.
         host: usize,
-        /// When its first byte came.
+        /// Time at which its first byte arrived.
         since: Millis,
-        /// How long the balancer says that it waits.
+        /// Time that the balancer waits for the answer, as sent to the server.
         wait_ms: Millis,
     },
-    /// A form host has answered so, or the balancer has closed the connection before ("(left)").
+    /// A server has answered a request, or the balancer has closed the connection before ("(left)").
     Over {
-        /// The id in the line.
+        /// Id of the request.
         id: u64,
-        /// Which form host.
+        /// Index of the server.
         host: usize,
-        /// With what.
+        /// The answer, or "(reset)" or "(left)" without one.
         how: String,
     },
-    /// A form host has given out this receipt.
+    /// A server has issued a receipt in its answer.
     Receipt {
-        /// For the line with this id.
+        /// Id of the request.
         id: u64,
-        /// As in its answer.
+        /// The receipt.
         receipt: String,
     },
-    /// Discovery has written to the balancer that a form host is so.
+    /// Discovery has sent the state of a server to the balancer.
     Told {
-        /// Which form host.
+        /// Index of the server.
         host: usize,
-        /// How it is.
+        /// Its state.
         state: State,
     },
     /// A client has connected.
     Connected {
-        /// The id that its line will have.
+        /// Id of the request that the client will send.
         id: u64,
     },
-    /// A client has closed its connection before its answer.
+    /// A client has closed its connection before the answer.
     Left {
-        /// The id in its line.
+        /// Id of the request.
         id: u64,
     },
-    /// A client has written a part of its line and writes no more.
+    /// A client has sent a part of its request and sends no more.
     StoppedMidLine {
-        /// The id that its line would have had.
+        /// Id of the request.
         id: u64,
     },
-    /// Such a client was answered or ended.
+    /// The balancer has answered or closed the connection of a client that stopped in the middle of its request.
     Released {
-        /// As above.
+        /// Id of the request.
         id: u64,
     },
-    /// The balancer was killed: what was open there is cut off, and what it was told is forgotten.
+    /// The balancer was killed: its connections are cut off, and it has lost what discovery sent.
     Killed,
 }
 
 impl Note {
-    /// The id of the request that it tells of, if it tells of one.
+    /// Returns the id of the request that this is about, if any.
     #[must_use]
     pub fn request(&self) -> Option<u64> {
         match self {
@@ -116,7 +116,7 @@
     }
 }
 
-/// What all have seen, in the order in which they saw it, each with its time.
+/// A log of observations, in the order in which they were made, each with its time.
 #[derive(Debug)]
 pub struct NoteLog {
     origin: Instant,
@@ -124,38 +124,38 @@
 }
 
 impl NoteLog {
-    /// An empty one whose clock begins now.
+    /// Returns an empty log whose clock starts now.
     #[must_use]
     pub fn new() -> Rc<Self> {
         Rc::new(Self { origin: Instant::now(), notes: RefCell::default() })
     }
 
-    /// Another empty one by the same clock.
+    /// Returns an empty log with the same clock as this one.
     #[must_use]
     pub fn with_same_clock(&self) -> Rc<Self> {
         Rc::new(Self { origin: self.origin, notes: RefCell::default() })
     }
 
-    /// The time since the beginning.
+    /// Returns the time since the start of the clock.
     #[must_use]
     pub fn now(&self) -> Millis {
         self.origin.elapsed().as_secs_f64() * 1_000.0
     }
 
-    /// Writes something down.
+    /// Appends an observation.
     pub fn record(&self, note: Note) {
         self.notes.borrow_mut().push((self.now(), note));
     }
 
-    /// All of it.
+    /// Returns all observations.
     #[must_use]
     pub fn notes(&self) -> Vec<(Millis, Note)> {
         self.notes.borrow().clone()
     }
 }
 
-/// The id and the wait in a client's line, if it is one.
-fn opening(line: &str) -> Option<(u64, Millis)> {
+/// Returns the id and the wait time of a request line, or `None` for other lines.
+fn parse_open(line: &str) -> Option<(u64, Millis)> {
     let mut words = line.split_whitespace();
     let id = words.next().filter(|word| *word == "OPEN").and_then(|_| words.next())?;
     let wait = words.next_back()?.split(',').find_map(|pair| pair.strip_prefix("d="))?;
--- a/emulator/src/platform/reconnecting.rs
+++ b/emulator/src/platform/reconnecting.rs
@@ -1,5 +1,5 @@
-//! Clients that want to be connected all the time: whoever is refused, cut off or moved comes again, through a front
-//! that knows only which balancers take a connection.
+//! Clients that want to be connected all the time: after a rejection, a lost connection or `MOVE` they reconnect. A
+//! front end that knows only which balancers accept connections assigns them to a balancer.
 
 use super::servers::pause;
 use super::{Note, NoteLog};
@@ -12,50 +12,52 @@
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
-/// A client that was cut off comes again within so many ms.
+/// Maximum delay before a disconnected client reconnects.
 const MAX_RECONNECT_DELAY_MS: Millis = 1_000.0;
-/// A client says something every so many ms, and waits so long for what comes back.
+/// Mean delay between a reply and the next message of a client.
 const MESSAGE_INTERVAL_MS: Millis = 500.0;
+/// Maximum time to wait for the reply to a message.
 const REPLY_TIMEOUT_MS: Millis = 3_000.0;
-/// The front has a client wait for so long when nobody takes its connection.
+/// Mean delay before the next attempt when the balancer accepts no connection.
 const UNREACHABLE_DELAY_MS: Millis = 50.0;
 
-/// Which balancer a request went to stands in the highest byte of its id.
+/// Position of the balancer in the id of a request: its highest byte.
 pub const BALANCER_SHIFT: u32 = 56;
 
-/// What all clients of a run share.
+/// State that all clients of a run share.
 pub struct ReconnectPool {
     log: Rc<NoteLog>,
     balancers: Vec<SocketAddr>,
     classes: Vec<(String, Millis)>,
-    ended: Cell<bool>,
-    up: Cell<usize>,
-    refused: Cell<usize>,
+    stopped: Cell<bool>,
+    connected: Cell<usize>,
+    rejected: Cell<usize>,
 }
 
 impl ReconnectPool {
-    /// For these balancers, 256 at most; classes by name, each with the time in ms that its clients wait.
+    /// Returns the state for at most 256 balancers; classes by name, each with the time in ms that its clients wait
+    /// for an answer.
     #[must_use]
     pub fn new(log: Rc<NoteLog>, balancers: Vec<SocketAddr>, classes: Vec<(String, Millis)>) -> Rc<Self> {
-        let (ended, up, refused) = (Cell::new(false), Cell::new(0), Cell::new(0));
-        Rc::new(Self { log, balancers, classes, ended, up, refused })
+        let (stopped, connected, rejected) = (Cell::new(false), Cell::new(0), Cell::new(0));
+        Rc::new(Self { log, balancers, classes, stopped, connected, rejected })
     }
 
-    /// How many clients are connected now.
+    /// Returns the number of clients that are connected.
     #[must_use]
     pub fn connected(&self) -> usize {
-        self.up.get()
+        self.connected.get()
     }
 
-    /// Answers so far that were none of `UP`.
+    /// Returns the number of answers so far other than `UP`.
     #[must_use]
     pub fn rejected(&self) -> usize {
-        self.refused.get()
+        self.rejected.get()
     }
 
-    /// Nobody comes again, and whoever is connected leaves.
+    /// Ends the run: connected clients leave and none reconnects.
     pub fn stop(&self) {
-        self.ended.set(true);
+        self.stopped.set(true);
     }
 }
 
@@ -66,33 +68,34 @@
 }
 
 impl ReconnectingClient {
-    /// The client of this number.
+    /// Returns a client with this seed.
     #[must_use]
     pub fn new(pool: Rc<ReconnectPool>, seed: u64) -> Self {
         Self { pool, rng: SmallRng::seed_from_u64(seed) }
     }
 
-    /// Comes after so many ms, and again until the pool ends.
+    /// Connects after this many ms, and reconnects until [`ReconnectPool::stop`].
     pub async fn run(mut self, after_ms: Millis) {
         pause(after_ms).await;
-        while !self.pool.ended.get() {
-            let advice = self.once().await.unwrap_or(None);
-            let wait = advice.unwrap_or_else(|| MAX_RECONNECT_DELAY_MS * self.rng.random::<f64>());
-            pause(wait).await;
+        while !self.pool.stopped.get() {
+            let retry_after_ms = self.connect_once().await.unwrap_or(None);
+            let delay_ms =
+                retry_after_ms.unwrap_or_else(|| MAX_RECONNECT_DELAY_MS * self.rng.random::<f64>());
+            pause(delay_ms).await;
         }
     }
 
-    /// One connection, to its end; how long the balancer asks to stay away, if it does.
-    async fn once(&mut self) -> std::io::Result<Option<Millis>> {
+    /// Makes one connection and stays to its end. Returns the retry delay that the balancer asked for, if any.
+    async fn connect_once(&mut self) -> std::io::Result<Option<Millis>> {
         let pool = self.pool.clone();
-        let number = self.rng.random_range(0..pool.balancers.len());
-        let Ok(stream) = TcpStream::connect(pool.balancers[number]).await else {
+        let balancer = self.rng.random_range(0..pool.balancers.len());
+        let Ok(stream) = TcpStream::connect(pool.balancers[balancer]).await else {
             return Ok(Some(UNREACHABLE_DELAY_MS * (0.5 + self.rng.random::<f64>())));
         };
         stream.set_nodelay(true)?;
         let mut stream = BufReader::new(stream);
         let (class, wait_ms) = &pool.classes[self.rng.random_range(0..pool.classes.len())];
-        let id = ((number as u64) << BALANCER_SHIFT) | (self.rng.random::<u64>() >> (64 - BALANCER_SHIFT));
+        let id = ((balancer as u64) << BALANCER_SHIFT) | (self.rng.random::<u64>() >> (64 - BALANCER_SHIFT));
         let line = format!("OPEN {id:016x} {:016x} c={class},d={wait_ms:.0}\r\n", self.rng.random::<u64>());
         stream.write_all(line.as_bytes()).await?;
         pool.log.record(Note::Asked { id, wait_ms: *wait_ms });
@@ -104,19 +107,19 @@
         let answer = if read { answer.trim_end().to_owned() } else { "(end)".to_owned() };
         pool.log.record(Note::Answered { id, line: answer.clone() });
         if !answer.starts_with("UP ") {
-            pool.refused.set(pool.refused.get() + 1);
-            let advice = answer.strip_prefix("BUSY ").and_then(|ms| ms.parse().ok());
-            return Ok(advice);
+            pool.rejected.set(pool.rejected.get() + 1);
+            let retry_after_ms = answer.strip_prefix("BUSY ").and_then(|ms| ms.parse().ok());
+            return Ok(retry_after_ms);
         }
-        pool.up.set(pool.up.get() + 1);
+        pool.connected.set(pool.connected.get() + 1);
         let _ = self.stay(&mut stream).await;
-        pool.up.set(pool.up.get() - 1);
+        pool.connected.set(pool.connected.get() - 1);
         Ok(None)
     }
 
     async fn stay(&mut self, stream: &mut BufReader<TcpStream>) -> std::io::Result<()> {
         let mut line = String::new();
-        while !self.pool.ended.get() {
+        while !self.pool.stopped.get() {
             stream.write_all(b"field\r\n").await?;
             line.clear();
             tokio::select! {
@@ -125,12 +128,12 @@
                 },
                 () = pause(REPLY_TIMEOUT_MS) => return Ok(()),
             }
-            // An end that comes while it says nothing is seen at once.
-            let quiet = MESSAGE_INTERVAL_MS * (0.5 + self.rng.random::<f64>());
+            // Reads while idle, so that the end of the connection is noticed immediately.
+            let idle_ms = MESSAGE_INTERVAL_MS * (0.5 + self.rng.random::<f64>());
             line.clear();
             tokio::select! {
                 _ = stream.read_line(&mut line) => return Ok(()),
-                () = pause(quiet) => {}
+                () = pause(idle_ms) => {}
             }
         }
         Ok(())
--- a/emulator/src/platform/rules.rs
+++ b/emulator/src/platform/rules.rs
@@ -1,28 +1,31 @@
-//! The rules of the platform's protocol, read from what stand-ins wrote down and from nothing else.
+//! The rules of the protocol for plain connections, checked on the observations of servers, discovery and clients
+//! alone.
 
 use super::{CLASS_SHIFT, Note, State};
 use crate::model::Millis;
 use std::collections::BTreeMap;
 
-/// Time limits hold to so many ms.
+/// Tolerance of all time limits.
 const TOLERANCE_MS: Millis = 50.0;
-/// No attempt begins so long after its client left: 0.1 s, and 0.15 s for a balancer that was held up.
+/// Maximum time after its client left at which an attempt may start: 0.1 s, and 0.15 s for a balancer that was not
+/// scheduled.
 const MAX_START_AFTER_LEAVE_MS: Millis = 250.0;
-/// A client that stopped in the middle of its line is released within this.
+/// Maximum time until a client that stopped in the middle of its request is released.
 const MAX_RELEASE_MS: Millis = 3_000.0;
-/// What a client of a moment ago was told is on its way while its balancer is killed.
+/// Time before and after the kill of a balancer in which answers may be lost in transit.
 const KILL_MARGIN_MS: Millis = 250.0;
 
-/// The figures of a deployment's rules.
+/// The limits of a deployment.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Rules {
-    /// Attempts for a request at most.
+    /// Maximum number of attempts for a request.
     pub max_attempts: usize,
-    /// A form host may be sent to for so many ms after it was told as draining or gone.
+    /// Time after discovery listed a server as draining or deleted in which it may still receive requests, in ms.
     pub drain_grace_ms: Millis,
-    /// `BUSY` may say when to come again, up to so many ms; `None` where it may not.
+    /// Maximum retry delay in `BUSY`, in ms; `None` where `BUSY` may not have one.
     pub max_retry_after_ms: Option<Millis>,
-    /// Whether requests of a class must not run twice, by the class's number in their ids; the others may.
+    /// Whether the requests of a class must not run twice, by the number of the class in their ids. Requests of other
+    /// classes may.
     pub non_idempotent: Vec<bool>,
 }
 
@@ -33,162 +36,174 @@
     }
 }
 
-/// What was findings. Faults of safety hold on any machine; late ones may be the machine's.
+/// The result of a check. Violations hold on any machine; late events may be due to the load of the machine.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Findings {
-    /// Requests, and how many of them were served.
+    /// Number of requests.
     pub requests: usize,
-    /// As above.
+    /// Number of requests that were served.
     pub served: usize,
-    /// Attempts that came to form hosts.
+    /// Number of attempts that reached servers.
     pub attempts: usize,
-    /// Rules of safety that were broken, in words.
+    /// Descriptions of violated rules.
     pub violations: Vec<String>,
-    /// Bounds on time that were exceeded, in words.
+    /// Descriptions of exceeded time limits.
     pub late: Vec<String>,
 }
 
 #[derive(Default)]
 struct Request {
-    asked: Option<(Millis, Millis)>,
+    /// Time at which the client sent it, and its wait time.
+    sent: Option<(Millis, Millis)>,
     answers: Vec<(Millis, String)>,
-    sent: usize,
-    out: Option<usize>,
+    attempts: usize,
+    /// The server with an attempt in progress.
+    active_server: Option<usize>,
     receipts: Vec<String>,
-    connected: Option<Millis>,
-    left: Option<Millis>,
-    /// An attempt may have run.
+    connected_at: Option<Millis>,
+    left_at: Option<Millis>,
+    /// Whether an attempt may have run.
     may_have_run: bool,
-    /// Its balancer was killed before it had its answer.
+    /// Whether the balancer was killed before the answer.
     cut: bool,
 }
 
-/// Judges a run. The clients' waits are bounds on time; so is the grace of a drain.
+/// Checks a run. The wait times of clients and the grace period of a drain are time limits.
 #[must_use]
 pub fn check(notes: &[(Millis, Note)], rules: &Rules) -> Findings {
     let mut findings = Findings::default();
     let mut requests = BTreeMap::<u64, Request>::new();
-    let mut told = BTreeMap::<usize, Millis>::new();
+    let mut leaving = BTreeMap::<usize, Millis>::new();
     let mut stopped = BTreeMap::<u64, Millis>::new();
     let mut kills = Vec::new();
     for (at, note) in notes {
         match note {
-            Note::Asked { id, wait_ms } => requests.entry(*id).or_default().asked = Some((*at, *wait_ms)),
+            Note::Asked { id, wait_ms } => requests.entry(*id).or_default().sent = Some((*at, *wait_ms)),
             Note::Answered { id, line } => requests.entry(*id).or_default().answers.push((*at, line.clone())),
             Note::Receipt { id, receipt } => requests.entry(*id).or_default().receipts.push(receipt.clone()),
-            Note::Told { host, state: State::Serving } => _ = told.remove(host),
-            // Told again it stays told from the first time.
-            Note::Told { host, .. } => _ = told.entry(*host).or_insert(*at),
+            Note::Told { host, state: State::Serving } => _ = leaving.remove(host),
+            // A server that is listed as such again counts from the first time.
+            Note::Told { host, .. } => _ = leaving.entry(*host).or_insert(*at),
             Note::Sent { id, host, since, wait_ms } => {
                 findings.attempts += 1;
                 let request = requests.entry(*id).or_default();
-                request.sent += 1;
-                if let Some(other) = request.out.replace(*host) {
+                request.attempts += 1;
+                if let Some(other) = request.active_server.replace(*host) {
                     findings.violations.push(format!(
-                        "{id:x}: two max_attempts at non_idempotent, at hosts {other} and {host}, {at:.0} ms"
+                        "{id:x}: concurrent attempts at servers {other} and {host}, {at:.0} ms"
                     ));
                 }
                 if request.may_have_run && rules.is_non_idempotent(*id) {
-                    findings
-                        .violations
-                        .push(format!("{id:x}: sent again though it may have run, {at:.0} ms"));
+                    findings.violations.push(format!("{id:x}: retried although it may have run, {at:.0} ms"));
                 }
-                if let Some(left) =
-                    request.left.filter(|left| since - *left > MAX_START_AFTER_LEAVE_MS + TOLERANCE_MS)
+                if let Some(left_at) = request
+                    .left_at
+                    .filter(|left_at| since - *left_at > MAX_START_AFTER_LEAVE_MS + TOLERANCE_MS)
                 {
-                    findings
-                        .violations
-                        .push(format!("{id:x}: begun {:.0} ms after its client left", since - left));
+                    findings.violations.push(format!(
+                        "{id:x}: attempt started {:.0} ms after its client left",
+                        since - left_at
+                    ));
                 }
-                if request.sent > rules.max_attempts {
+                if request.attempts > rules.max_attempts {
                     findings
                         .violations
-                        .push(format!("{id:x}: more than {} max_attempts, {at:.0} ms", rules.max_attempts));
+                        .push(format!("{id:x}: more than {} attempts, {at:.0} ms", rules.max_attempts));
                 }
-                match request.asked {
-                    None => findings.violations.push(format!("{id:x}: sent and never asked for, {at:.0} ms")),
+                match request.sent {
+                    None => findings
+                        .violations
+                        .push(format!("{id:x}: attempt without a client request, {at:.0} ms")),
                     Some((_, wait)) if *wait_ms > wait => {
                         findings
                             .violations
-                            .push(format!("{id:x}: says {wait_ms} ms where the client waits {wait}"));
+                            .push(format!("{id:x}: attempt with a wait time of {wait_ms} ms where the client waits {wait} ms"));
                     }
                     Some(_) => {}
                 }
-                if let Some(drained) =
-                    told.get(host).filter(|told| since - *told > rules.drain_grace_ms + TOLERANCE_MS)
+                if let Some(listed_at) = leaving
+                    .get(host)
+                    .filter(|listed_at| since - *listed_at > rules.drain_grace_ms + TOLERANCE_MS)
                 {
                     findings.violations.push(format!(
-                        "{id:x}: host {host} was told as leaving at {drained:.0} ms and sent to at {since:.0} ms"
+                        "{id:x}: server {host} was listed as leaving at {listed_at:.0} ms and received a request at {since:.0} ms"
                     ));
                 }
             }
             Note::Over { id, host, how } => {
                 let request = requests.entry(*id).or_default();
-                request.out = request.out.filter(|out| out != host);
+                request.active_server = request.active_server.filter(|active| active != host);
                 request.may_have_run |= how != "BUSY";
             }
-            Note::Connected { id } => requests.entry(*id).or_default().connected = Some(*at),
-            Note::Left { id } => requests.entry(*id).or_default().left = Some(*at),
+            Note::Connected { id } => requests.entry(*id).or_default().connected_at = Some(*at),
+            Note::Left { id } => requests.entry(*id).or_default().left_at = Some(*at),
             Note::StoppedMidLine { id } => _ = stopped.insert(*id, *at),
             Note::Released { id } => {
                 let since = stopped.remove(id).unwrap_or(*at);
                 if at - since > MAX_RELEASE_MS + TOLERANCE_MS {
-                    findings.late.push(format!("{id:x}: released {:.0} ms after it stopped", at - since));
+                    findings
+                        .late
+                        .push(format!("{id:x}: released {:.0} ms after its client stopped", at - since));
                 }
             }
             Note::Killed => {
-                told.clear();
+                leaving.clear();
                 kills.push(*at);
                 for request in requests.values_mut() {
-                    let asked = request.asked.is_some_and(|(asked, _)| asked <= *at);
-                    request.cut |= asked && request.answers.is_empty();
-                    request.out = None;
+                    let was_sent = request.sent.is_some_and(|(sent_at, _)| sent_at <= *at);
+                    request.cut |= was_sent && request.answers.is_empty();
+                    request.active_server = None;
                 }
             }
         }
     }
     for (id, since) in stopped {
         if !kills.iter().any(|at| *at >= since) {
-            findings.violations.push(format!("{id:x}: stopped in the middle of its line and never released"));
+            findings
+                .violations
+                .push(format!("{id:x}: stopped in the middle of its request and never released"));
         }
     }
     for (id, request) in &requests {
-        let Some((asked, wait)) = request.asked else { continue };
+        let Some((sent_at, wait)) = request.sent else { continue };
         findings.requests += 1;
         let Some((at, line)) = request.answers.first() else {
-            if request.left.is_none() && !request.cut {
+            if request.left_at.is_none() && !request.cut {
                 findings.violations.push(format!("{id:x}: no answer"));
             }
             continue;
         };
-        let since = request.connected.unwrap_or(asked);
+        let since = request.connected_at.unwrap_or(sent_at);
         let killed = kills.iter().any(|kill| (since - KILL_MARGIN_MS..at + KILL_MARGIN_MS).contains(kill));
         if line == "(end)" && (request.cut || killed) {
             continue;
         }
         if rules.is_non_idempotent(*id) && request.may_have_run && line.starts_with("BUSY") {
-            findings.violations.push(format!("{id:x}: answered \"{line}\" though it may have run"));
+            findings.violations.push(format!("{id:x}: answered \"{line}\" although it may have run"));
         }
         if request.answers.len() > 1 {
             findings.violations.push(format!("{id:x}: {} answers", request.answers.len()));
         }
-        if at - asked > wait + TOLERANCE_MS {
-            findings.late.push(format!("{id:x}: answered after {:.0} ms, waits {wait:.0}", at - asked));
+        if at - sent_at > wait + TOLERANCE_MS {
+            findings.late.push(format!(
+                "{id:x}: answered after {:.0} ms, but the client waits {wait:.0} ms",
+                at - sent_at
+            ));
         }
-        let wrong = match line.split_once(' ') {
+        let invalid = match line.split_once(' ') {
             Some(("UP", receipt)) => {
                 findings.served += 1;
-                !request.receipts.iter().any(|given| given == receipt)
+                !request.receipts.iter().any(|issued| issued == receipt)
             }
             Some(("BUSY", ms)) => {
                 let ms = ms.parse::<f64>().unwrap_or(f64::INFINITY);
                 rules.max_retry_after_ms.is_none_or(|most| ms > most)
             }
-            // Without a word the balancer has lost it.
+            // Without an answer the balancer has lost the request.
             _ => line == "(end)",
         };
-        if wrong {
-            findings.violations.push(format!("{id:x}: answered \"{line}\", which nobody gave or may give"));
+        if invalid {
+            findings.violations.push(format!("{id:x}: invalid answer \"{line}\""));
         }
     }
     findings
@@ -221,12 +236,12 @@
         (at, Note::Answered { id, line: line.into() })
     }
 
-    fn broken(notes: &[(Millis, Note)]) -> String {
+    fn violations(notes: &[(Millis, Note)]) -> String {
         check(notes, &RULES).violations.join("; ")
     }
 
     #[test]
-    fn a_sound_request_is_found_sound() {
+    fn a_request_without_violations_passes() {
         let receipt = (30.0, Note::Receipt { id: 1, receipt: "9".into() });
         let notes =
             [asked(1), sent(1, 0, 1.0), over(5.0, 1, 0), sent(1, 1, 8.0), receipt, answered(31.0, 1, "UP 9")];
@@ -236,39 +251,40 @@
     }
 
     #[test]
-    fn each_rule_is_found_broken_by_its_own_fault() {
+    fn each_violation_is_detected() {
         let end = answered(40.0, 1, "BUSY");
-        let two = [asked(1), sent(1, 0, 1.0), sent(1, 1, 2.0), over(3.0, 1, 0), over(4.0, 1, 1), end.clone()];
-        assert!(broken(&two).contains("two max_attempts at non_idempotent"));
-        let again = |host| [sent(1, host, 1.0), over(2.0, 1, host)];
+        let concurrent =
+            [asked(1), sent(1, 0, 1.0), sent(1, 1, 2.0), over(3.0, 1, 0), over(4.0, 1, 1), end.clone()];
+        assert!(violations(&concurrent).contains("concurrent attempts"));
+        let attempt = |host| [sent(1, host, 1.0), over(2.0, 1, host)];
         let mut many = vec![asked(1)];
-        (0..3).for_each(|host| many.extend(again(host)));
+        (0..3).for_each(|host| many.extend(attempt(host)));
         many.push(end.clone());
-        assert!(broken(&many).contains("more than 2 max_attempts"));
-        assert!(broken(&[asked(1)]).contains("no answer"));
-        assert!(broken(&[asked(1), end.clone(), end.clone()]).contains("2 answers"));
-        assert!(broken(&[asked(1), answered(9.0, 1, "(end)")]).contains("(end)"));
-        assert!(broken(&[asked(1), answered(9.0, 1, "UP 7")]).contains("UP 7"));
-        assert!(broken(&[asked(1), answered(9.0, 1, "BUSY 200")]).contains("BUSY 200"));
-        assert!(broken(&[sent(5, 0, 1.0)]).contains("never asked for"));
-        let told = (100.0, Note::Told { host: 0, state: State::Draining });
-        let after = |since| [asked(1), told.clone(), sent(1, 0, since), over(900.0, 1, 0), end.clone()];
-        assert!(broken(&after(651.0)).contains("told as leaving"));
-        assert_eq!(broken(&after(649.0)), "");
+        assert!(violations(&many).contains("more than 2 attempts"));
+        assert!(violations(&[asked(1)]).contains("no answer"));
+        assert!(violations(&[asked(1), end.clone(), end.clone()]).contains("2 answers"));
+        assert!(violations(&[asked(1), answered(9.0, 1, "(end)")]).contains("(end)"));
+        assert!(violations(&[asked(1), answered(9.0, 1, "UP 7")]).contains("UP 7"));
+        assert!(violations(&[asked(1), answered(9.0, 1, "BUSY 200")]).contains("BUSY 200"));
+        assert!(violations(&[sent(5, 0, 1.0)]).contains("without a client request"));
+        let listed = (100.0, Note::Told { host: 0, state: State::Draining });
+        let after = |since| [asked(1), listed.clone(), sent(1, 0, since), over(900.0, 1, 0), end.clone()];
+        assert!(violations(&after(651.0)).contains("listed as leaving"));
+        assert_eq!(violations(&after(649.0)), "");
         assert_eq!(check(&[asked(1), answered(1_051.0, 1, "BUSY")], &RULES).late.len(), 1);
     }
 
     #[test]
-    fn a_host_that_serves_again_may_be_sent_to() {
-        let told = |at, state| (at, Note::Told { host: 0, state });
+    fn a_server_that_serves_again_may_receive_requests() {
+        let listed = |at, state| (at, Note::Told { host: 0, state });
         let notes = [
             asked(1),
-            told(10.0, State::Deleted),
-            told(20.0, State::Serving),
+            listed(10.0, State::Deleted),
+            listed(20.0, State::Serving),
             sent(1, 0, 900.0),
             over(901.0, 1, 0),
             answered(902.0, 1, "BUSY"),
         ];
-        assert_eq!(broken(&notes), "");
+        assert_eq!(violations(&notes), "");
     }
 }
--- a/emulator/src/platform/servers.rs
+++ b/emulator/src/platform/servers.rs
@@ -1,6 +1,6 @@
-//! Form hosts as the balancer meets them.
+//! Servers of plain connections, with configurable behavior.
 
-use super::{Note, NoteLog, opening};
+use super::{Note, NoteLog, parse_open};
 use std::cell::{Cell, RefCell};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
@@ -10,45 +10,46 @@
 use tokio::sync::Notify;
 use tokio::task::JoinHandle;
 
-/// How a form host treats new connections.
+/// How a server handles new connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerBehavior {
-    /// It serves.
+    /// Accepts them.
     Serves,
-    /// It turns them away unseen.
+    /// Rejects them with `BUSY`.
     Busy,
-    /// It fails them.
+    /// Fails them with `ERR`.
     Errs,
-    /// It breaks them off.
+    /// Resets them.
     Resets,
-    /// It says nothing.
+    /// Reads from them and never answers.
     Mute,
-    /// It serves after so many ms.
+    /// Accepts them after this many ms.
     Slow(u32),
-    /// It serves, and breaks the connection off so many ms later.
+    /// Accepts them, and resets each this many ms later.
     BreaksAfter(u32),
-    /// It writes its answers byte by byte.
+    /// Accepts them, and writes its answers byte by byte.
     Pieces,
-    /// It has been deleted, and something else that speaks another language has its address: it breaks off whatever
-    /// comes, be it a question.
+    /// The server has been deleted, and a process with another protocol has its address: it resets every connection
+    /// at the first line, probes included.
     Gone,
 }
 
-/// A form host.
+/// A server.
 pub struct Server {
     log: Rc<NoteLog>,
     number: usize,
     address: SocketAddr,
     behavior: Cell<ServerBehavior>,
-    /// What it says of itself to who asks; nothing where the deployment has no reports.
+    /// Load report in the answer to `STATS`; `None` where the deployment has no reports.
     report: Option<String>,
+    /// Whether the server answers `PING` and `STATS`.
     probes: bool,
     stopped: Notify,
     tasks: RefCell<Vec<JoinHandle<()>>>,
 }
 
 impl Server {
-    /// One that serves at an address of its own.
+    /// Starts a server on an address of its own.
     ///
     /// # Errors
     /// Fails if no address is free.
@@ -59,7 +60,7 @@
         report: Option<String>,
     ) -> std::io::Result<Rc<Self>> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
-        let host = Rc::new(Self {
+        let server = Rc::new(Self {
             log,
             number,
             address: listener.local_addr()?,
@@ -69,32 +70,32 @@
             stopped: Notify::new(),
             tasks: RefCell::default(),
         });
-        let this = host.clone();
+        let this = server.clone();
         let accepting = tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let host = this.clone();
+                let server = this.clone();
                 let task = tokio::task::spawn_local(async move {
-                    let _ = host.serve(stream).await;
+                    let _ = server.serve(stream).await;
                 });
                 this.tasks.borrow_mut().push(task);
             }
         });
-        host.tasks.borrow_mut().push(accepting);
-        Ok(host)
+        server.tasks.borrow_mut().push(accepting);
+        Ok(server)
     }
 
-    /// Where it listens.
+    /// Returns the address of the server.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Treats new connections so from now on.
+    /// Changes how new connections are handled.
     pub fn set_behavior(&self, behavior: ServerBehavior) {
         self.behavior.set(behavior);
     }
 
-    /// It ends: what is open is cut off, and nobody listens any more.
+    /// Stops the server: its connections are cut off and it listens no more.
     pub fn stop(&self) {
         self.stopped.notify_waiters();
         self.tasks.borrow_mut().drain(..).for_each(|task| task.abort());
@@ -104,14 +105,14 @@
         stream.set_nodelay(true)?;
         let mut stream = BufReader::new(stream);
         loop {
-            // A send counts from its first byte.
+            // A request counts from the arrival of its first byte.
             if stream.fill_buf().await?.is_empty() {
                 return Ok(());
             }
             let since = self.log.now();
             let mut line = String::new();
             stream.read_line(&mut line).await?;
-            if let Some((id, wait_ms)) = opening(&line) {
+            if let Some((id, wait_ms)) = parse_open(&line) {
                 return self.open(stream, id, since, wait_ms).await;
             }
             if self.behavior.get() == ServerBehavior::Gone {
@@ -134,35 +135,36 @@
         since: f64,
         wait_ms: f64,
     ) -> std::io::Result<()> {
-        // What the kernel has brought before is to be seen before: an earlier attempt that was closed.
+        // Lets the other tasks process input that arrived earlier, so that the close of an earlier attempt is recorded
+        // before this attempt.
         for _ in 0..8 {
             tokio::task::yield_now().await;
         }
-        let host = self.number;
-        self.log.record(Note::Sent { id, host, since, wait_ms });
-        let over = |how: &str| self.log.record(Note::Over { id, host, how: how.to_owned() });
+        let server = self.number;
+        self.log.record(Note::Sent { id, host: server, since, wait_ms });
+        let record_end = |how: &str| self.log.record(Note::Over { id, host: server, how: how.to_owned() });
         match self.behavior.get() {
             ServerBehavior::Serves | ServerBehavior::BreaksAfter(_) | ServerBehavior::Pieces => {}
             ServerBehavior::Slow(ms) => {
                 let mut line = String::new();
                 tokio::select! {
                     _ = stream.read_line(&mut line) => {
-                        over("(left)");
+                        record_end("(left)");
                         return Ok(());
                     }
                     () = pause(f64::from(ms)) => {}
                 }
             }
             ServerBehavior::Busy => {
-                over("BUSY");
+                record_end("BUSY");
                 return stream.write_all(b"BUSY\r\n").await;
             }
             ServerBehavior::Errs => {
-                over("ERR");
+                record_end("ERR");
                 return stream.write_all(b"ERR\r\n").await;
             }
             ServerBehavior::Resets | ServerBehavior::Gone => {
-                over("(reset)");
+                record_end("(reset)");
                 return stream.get_ref().set_zero_linger();
             }
             ServerBehavior::Mute => {
@@ -170,13 +172,13 @@
                 while stream.read_line(&mut line).await.is_ok_and(|read| read > 0) {
                     line.clear();
                 }
-                over("(left)");
+                record_end("(left)");
                 return Ok(());
             }
         }
-        let receipt = format!("{:x}", id.rotate_left(17) ^ host as u64);
+        let receipt = format!("{:x}", id.rotate_left(17) ^ server as u64);
         self.log.record(Note::Receipt { id, receipt: receipt.clone() });
-        over("UP");
+        record_end("UP");
         let answer = format!("UP {receipt}\r\n");
         match self.behavior.get() {
             ServerBehavior::Pieces => {
@@ -201,7 +203,7 @@
     }
 }
 
-/// Waits for so long.
+/// Sleeps for this many ms.
 pub(super) async fn pause(ms: f64) {
     tokio::time::sleep(Duration::from_secs_f64(ms.max(0.0) / 1_000.0)).await;
 }
