--- a/emulator/src/sockets/clients.rs
+++ b/emulator/src/sockets/clients.rs
@@ -1,4 +1,4 @@
-//! Drafters at their clients, and thieves who show tokens that are not theirs.
+//! Clients with resumable sessions, and impostors who present tokens that are not theirs.
 
 use super::{EntryLog, sleep};
 use crate::model::{ClientAction, Millis, Note, SessionClient, SessionClientConfig, TokenKind};
@@ -10,7 +10,7 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::time::{Duration, timeout};
 
-/// All clients.
+/// All clients of an experiment.
 pub struct SessionClients {
     log: Rc<EntryLog>,
     balancers: Vec<SocketAddr>,
@@ -18,34 +18,34 @@
     impostor_count: Cell<u64>,
 }
 
-/// What a impostor shows.
+/// A client that presents a token that is not its own.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Impostor {
-    /// At which balancers, all at the same moment.
+    /// The balancers to which the token is presented at the same time.
     pub balancers: Vec<usize>,
     /// The token.
     pub token: String,
-    /// What is wrong with it, if anything.
+    /// The kind of token.
     pub kind: TokenKind,
-    /// How long it stays if it is let in.
+    /// Time to stay connected if the token is accepted, in ms.
     pub stay_ms: Millis,
 }
 
 impl SessionClients {
-    /// So many clients who come over the first `over_ms`, at these balancers.
+    /// Starts `count` clients that arrive evenly over `arrival_ms`, at these balancers.
     #[must_use]
     pub fn start(
         log: Rc<EntryLog>,
         balancers: Vec<SocketAddr>,
         count: usize,
-        habits: SessionClientConfig,
+        config: SessionClientConfig,
         seed: u64,
-        over_ms: Millis,
+        arrival_ms: Millis,
     ) -> Rc<Self> {
         let now = log.now();
-        let come = |n: usize| now + over_ms * n as f64 / count.max(1) as f64;
+        let connect_at = |n: usize| now + arrival_ms * n as f64 / count.max(1) as f64;
         let clients = (0..count)
-            .map(|n| Rc::new(RefCell::new(SessionClient::new(n as u64 + 1, habits, seed, come(n)))))
+            .map(|n| Rc::new(RefCell::new(SessionClient::new(n as u64 + 1, config, seed, connect_at(n)))))
             .collect();
         let this = Rc::new(Self { log, balancers, clients, impostor_count: Cell::default() });
         for client in &this.clients {
@@ -55,27 +55,27 @@
         this
     }
 
-    /// How many work now.
+    /// Returns the number of clients with an established connection.
     #[must_use]
     pub fn connected_count(&self) -> usize {
-        self.clients.iter().filter(|d| d.borrow().is_connected()).count()
+        self.clients.iter().filter(|client| client.borrow().is_connected()).count()
     }
 
-    /// The tokens that they have now.
+    /// Returns the current tokens of all clients.
     #[must_use]
     pub fn tokens(&self) -> Vec<String> {
-        self.clients.iter().filter_map(|d| d.borrow().token().map(str::to_owned)).collect()
+        self.clients.iter().filter_map(|client| client.borrow().token().map(str::to_owned)).collect()
     }
 
-    /// All of them see what they have through, and save nothing more.
+    /// Stops all clients from making saves. Unconfirmed saves are still sent.
     pub fn stop_saving(&self) {
-        self.clients.iter().for_each(|d| d.borrow_mut().stop_saving());
+        self.clients.iter().for_each(|client| client.borrow_mut().stop_saving());
     }
 
-    /// How many are not through yet.
+    /// Returns the number of clients that have unconfirmed saves or are not connected.
     #[must_use]
     pub fn unsettled_count(&self) -> usize {
-        self.clients.iter().filter(|d| !d.borrow().is_settled()).count()
+        self.clients.iter().filter(|client| !client.borrow().is_settled()).count()
     }
 
     async fn run(&self, client: Rc<RefCell<SessionClient>>) {
@@ -85,20 +85,20 @@
         let mut line = Vec::new();
         loop {
             let mut actions = Vec::new();
-            let left = wake_at - self.log.now();
-            let waiting = sleep(if wake_at.is_finite() { left.min(60_000.0) } else { 60_000.0 });
-            let heard = async {
+            let wait_ms = wake_at - self.log.now();
+            let timer = sleep(if wake_at.is_finite() { wait_ms.min(60_000.0) } else { 60_000.0 });
+            let reading = async {
                 match &mut connection {
                     Some((reader, _)) => Some(reader.read_until(b'\n', &mut line).await),
                     None => std::future::pending().await,
                 }
             };
-            let heard = tokio::select! {
-                heard = heard => heard,
-                () = waiting => None,
+            let read = tokio::select! {
+                read = reading => read,
+                () = timer => None,
             };
             let now = self.log.now();
-            match heard {
+            match read {
                 Some(Ok(n)) if n > 0 && line.ends_with(b"\n") => {
                     let text = String::from_utf8_lossy(&line).trim_end().to_owned();
                     line.clear();
@@ -116,15 +116,15 @@
                 }
                 None => {}
             }
-            let mut at = 0;
-            while at < actions.len() {
-                match actions[at].clone() {
+            let mut index = 0;
+            while index < actions.len() {
+                match actions[index].clone() {
                     ClientAction::Record(note) => self.log.record(&name, note),
                     ClientAction::WakeAt(when) => wake_at = wake_at.min(when),
                     ClientAction::Close => connection = None,
                     ClientAction::SendLine(text) => {
                         if let Some((_, writer)) = &mut connection {
-                            // One that is broken is seen by who reads it.
+                            // A broken connection is detected by the read.
                             let _ = writer.write_all(format!("{text}\r\n").as_bytes()).await;
                         }
                     }
@@ -142,21 +142,21 @@
                         }
                     }
                 }
-                at += 1;
+                index += 1;
             }
         }
     }
 
-    /// Shows a token at several balancers at the same moment.
+    /// Presents a token to several balancers at the same time.
     pub fn present_token(self: &Rc<Self>, impostor: &Impostor) {
         for balancer in &impostor.balancers {
             let number = self.impostor_count.replace(self.impostor_count.get() + 1);
             let (clients, balancer, impostor) = (self.clone(), *balancer, impostor.clone());
-            tokio::task::spawn_local(async move { clients.show(number, balancer, impostor).await });
+            tokio::task::spawn_local(async move { clients.present(number, balancer, impostor).await });
         }
     }
 
-    async fn show(&self, number: u64, balancer: usize, impostor: Impostor) {
+    async fn present(&self, number: u64, balancer: usize, impostor: Impostor) {
         let name = format!("t{number}");
         let (connection, token) = (1, impostor.kind);
         let Ok(stream) = TcpStream::connect(self.balancers[balancer]).await else { return };
@@ -167,9 +167,9 @@
         let _ = writer.write_all(line.as_bytes()).await;
         let mut reader = BufReader::new(reader);
         let mut answer = String::new();
-        let heard = timeout(Duration::from_secs(8), reader.read_line(&mut answer)).await;
+        let read = timeout(Duration::from_secs(8), reader.read_line(&mut answer)).await;
         let word =
-            if matches!(heard, Ok(Ok(_))) { answer.split_whitespace().next().unwrap_or("") } else { "" };
+            if matches!(read, Ok(Ok(_))) { answer.split_whitespace().next().unwrap_or("") } else { "" };
         self.log.record(&name, Note::Answered { connection, word: word.to_owned(), token });
         if word == "UP" {
             sleep(impostor.stay_ms).await;
--- a/emulator/src/sockets/mod.rs
+++ b/emulator/src/sockets/mod.rs
@@ -1,4 +1,4 @@
-//! The stand-ins on loopback sockets: form servers, discovery and clients on one thread, in real time.
+//! The models of sessions on loopback sockets: servers, discovery and clients on one thread, in real time.
 
 mod clients;
 mod discovery;
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// The experiment's clock, and what everybody writes down by it.
+/// The experiment's clock and the log of all servers and clients.
 #[derive(Debug)]
 pub struct EntryLog {
     origin: Instant,
@@ -21,31 +21,31 @@
 }
 
 impl EntryLog {
-    /// An empty one whose clock begins now.
+    /// Returns an empty log whose clock starts now.
     #[must_use]
     pub fn new() -> Rc<Self> {
         Rc::new(Self { origin: Instant::now(), entries: RefCell::default() })
     }
 
-    /// The time since the beginning.
+    /// Returns the time since the start of the clock.
     #[must_use]
     pub fn now(&self) -> Millis {
         self.origin.elapsed().as_secs_f64() * 1_000.0
     }
 
-    /// Writes something down.
+    /// Appends an entry.
     pub fn record(&self, by: &str, note: Note) {
         let entry = Entry { at: self.now(), by: by.to_owned(), note };
         self.entries.borrow_mut().push(entry);
     }
 
-    /// All that has been written down since this was last asked for.
+    /// Removes and returns all entries so far.
     pub fn take(&self) -> Vec<Entry> {
         std::mem::take(&mut *self.entries.borrow_mut())
     }
 }
 
-/// Waits for so long.
+/// Sleeps for this many ms.
 pub async fn sleep(ms: Millis) {
     tokio::time::sleep(std::time::Duration::from_secs_f64(ms.max(0.0) / 1_000.0)).await;
 }
--- a/emulator/src/sockets/servers.rs
+++ b/emulator/src/sockets/servers.rs
@@ -1,5 +1,5 @@
-//! Form servers: each balancer reaches each of them at an address of its own, so that one way can be cut
-//! and the others not.
+//! Servers that hold sessions and replicate them. Each balancer reaches each server at a separate address, so that a
+//! network partition can cut off one balancer alone.
 
 use super::{EntryLog, sleep};
 use crate::model::{HolderAction, InjectedBug, LeaseHolder, LeaseReplica, Millis};
@@ -13,78 +13,81 @@
 use tokio::sync::Notify;
 use tokio::task::AbortHandle;
 
-/// How often leases are looked at.
+/// Interval between lease checks.
 const LEASE_CHECK_INTERVAL_MS: Millis = 20.0;
-/// Records that a replica has room for.
+/// Maximum number of session records of a replica.
 const MAX_RECORDS: usize = 100_000;
-/// A stalled or cut off server is looked at again after so long.
-const GATE_CHECK_INTERVAL_MS: Millis = 10.0;
+/// Interval at which a connection of a stalled or partitioned server checks whether it may continue.
+const REACHABLE_CHECK_INTERVAL_MS: Millis = 10.0;
 
-/// What form servers are like.
+/// Properties of all servers.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerConfig {
-    /// Sessions and plain connections that one holds at most.
+    /// Maximum number of open connections of a server.
     pub capacity: usize,
-    /// Clocks run too fast or too slow by this share at most.
+    /// Maximum deviation of the rate of a server clock, as a share.
     pub clock_drift: f64,
-    /// A bug.
+    /// An injected bug, if any.
     pub injected_bug: Option<InjectedBug>,
 }
 
-/// What may happen to a form server.
+/// A fault of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServerFault {
-    /// It is killed, and begins anew and empty after so long.
+    /// The server is killed, and restarts without state after this many ms.
     Kill(Millis),
-    /// It does nothing for so long.
+    /// The server stalls for this many ms.
     Stall(Millis),
-    /// Nothing passes between it and this balancer for so long.
+    /// No data passes between the server and this balancer for this many ms.
     Partition(usize, Millis),
 }
 
-/// All form servers.
+/// All servers of an experiment.
 pub struct Servers {
     log: Rc<EntryLog>,
     config: ServerConfig,
     servers: Vec<Rc<Server>>,
-    /// Called whenever one has died or come back.
+    /// Notified whenever a server stops or starts.
     pub changed: Rc<Notify>,
 }
 
 struct Server {
     name: String,
-    rate: f64,
+    /// Rate of its clock relative to the experiment's clock.
+    clock_rate: f64,
     replica: RefCell<LeaseReplica>,
     holder: RefCell<LeaseHolder>,
-    life: Cell<u64>,
-    up: Cell<bool>,
+    incarnation: Cell<u64>,
+    running: Cell<bool>,
     stalled_until: Cell<Millis>,
     partitions: RefCell<Vec<(usize, Millis)>>,
-    /// By balancer.
+    /// Address for each balancer.
     addresses: Vec<SocketAddr>,
     tasks: RefCell<Vec<AbortHandle>>,
     outbound: RefCell<HashMap<u64, Rc<Outbound>>>,
-    open: Cell<usize>,
+    open_count: Cell<usize>,
     started_at: Cell<Millis>,
 }
 
-/// What waits to go out on a connection.
+/// Data to be written on a connection.
 #[derive(Default)]
 struct Outbound {
-    lines: RefCell<VecDeque<Vec<u8>>>,
+    queue: RefCell<VecDeque<Vec<u8>>>,
+    /// Whether to close the connection once the queue is empty.
     closing: Cell<bool>,
     added: Notify,
 }
 
 impl Outbound {
     fn push(&self, bytes: Vec<u8>) {
-        self.lines.borrow_mut().push_back(bytes);
+        self.queue.borrow_mut().push_back(bytes);
         self.added.notify_one();
     }
 }
 
 impl Servers {
-    /// So many, each with an address for each of so many balancers.
+    /// Starts `count` servers, each with an address for each of the balancers. `rate` returns the deviation of a
+    /// clock as a part of the maximum, between -1 and 1.
     ///
     /// # Errors
     /// Fails if no address is free.
@@ -96,25 +99,25 @@
         mut rate: impl FnMut() -> f64,
     ) -> std::io::Result<Rc<Self>> {
         let mut servers = Vec::new();
-        for h in 0..count {
+        for index in 0..count {
             let mut listeners = Vec::new();
             for _ in 0..balancers {
                 listeners.push(TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?);
             }
             let addresses = listeners.iter().map(TcpListener::local_addr).collect::<std::io::Result<_>>()?;
             let server = Rc::new(Server {
-                name: format!("h{h}"),
-                rate: 1.0 + config.clock_drift * rate(),
+                name: format!("h{index}"),
+                clock_rate: 1.0 + config.clock_drift * rate(),
                 replica: LeaseReplica::new(MAX_RECORDS, config.injected_bug).into(),
                 holder: LeaseHolder::new(config.injected_bug).into(),
-                life: Cell::new(1),
-                up: Cell::new(true),
+                incarnation: Cell::new(1),
+                running: Cell::new(true),
                 stalled_until: Cell::default(),
                 partitions: RefCell::default(),
                 addresses,
                 tasks: RefCell::default(),
                 outbound: RefCell::default(),
-                open: Cell::default(),
+                open_count: Cell::default(),
                 started_at: Cell::default(),
             });
             servers.push((server, listeners));
@@ -127,63 +130,64 @@
         Ok(this)
     }
 
-    /// How many there are.
+    /// Returns the number of servers.
     #[must_use]
     pub fn count(&self) -> usize {
         self.servers.len()
     }
 
-    /// One's name.
+    /// Returns the name of a server.
     #[must_use]
-    pub fn name(&self, h: usize) -> &str {
-        &self.servers[h].name
+    pub fn name(&self, index: usize) -> &str {
+        &self.servers[index].name
     }
 
-    /// Where a balancer reaches one.
+    /// Returns the address of a server for a balancer.
     #[must_use]
-    pub fn address(&self, h: usize, balancer: usize) -> SocketAddr {
-        self.servers[h].addresses[balancer]
+    pub fn address(&self, index: usize, balancer: usize) -> SocketAddr {
+        self.servers[index].addresses[balancer]
     }
 
-    /// Whether one runs, and when it was started on the experiment's clock; 0 for long ago.
+    /// Returns whether a server runs, and the time of its last start on the experiment's clock; 0 for a server that
+    /// was never restarted.
     #[must_use]
-    pub fn state(&self, h: usize) -> (bool, Millis) {
-        (self.servers[h].up.get(), self.servers[h].started_at.get())
+    pub fn state(&self, index: usize) -> (bool, Millis) {
+        (self.servers[index].running.get(), self.servers[index].started_at.get())
     }
 
-    /// Connections that all hold together, and sessions held.
+    /// Returns the number of open connections and of sessions on all servers.
     #[must_use]
     pub fn load(&self) -> (usize, usize) {
-        let open = self.servers.iter().map(|h| h.open.get()).sum();
-        (open, self.servers.iter().map(|h| h.holder.borrow().session_count()).sum())
+        let open = self.servers.iter().map(|server| server.open_count.get()).sum();
+        (open, self.servers.iter().map(|server| server.holder.borrow().session_count()).sum())
     }
 
     fn listen(self: &Rc<Self>, server: &Rc<Server>, listeners: Vec<TcpListener>) {
         for (balancer, listener) in listeners.into_iter().enumerate() {
-            let (this, of) = (self.clone(), server.clone());
-            let task = tokio::task::spawn_local(async move { this.accept(of, balancer, listener).await });
+            let (this, shared) = (self.clone(), server.clone());
+            let task = tokio::task::spawn_local(async move { this.accept(shared, balancer, listener).await });
             server.tasks.borrow_mut().push(task.abort_handle());
         }
-        let (this, of) = (self.clone(), server.clone());
-        let task = tokio::task::spawn_local(async move { this.tick(of).await });
+        let (this, shared) = (self.clone(), server.clone());
+        let task = tokio::task::spawn_local(async move { this.tick(shared).await });
         server.tasks.borrow_mut().push(task.abort_handle());
     }
 
     async fn accept(self: Rc<Self>, server: Rc<Server>, balancer: usize, listener: TcpListener) {
-        let mut next = (balancer as u64) << 32;
+        let mut last_connection = (balancer as u64) << 32;
         loop {
             let Ok((stream, _)) = listener.accept().await else { continue };
             let _ = stream.set_nodelay(true);
-            next += 1;
-            let (this, of, connection) = (self.clone(), server.clone(), next);
+            last_connection += 1;
+            let (this, shared, connection) = (self.clone(), server.clone(), last_connection);
             let task = tokio::task::spawn_local(async move {
-                of.open.set(of.open.get() + 1);
-                let _open = Open(&of.open);
-                let _ = this.serve(&of, balancer, connection, &stream).await;
+                shared.open_count.set(shared.open_count.get() + 1);
+                let _open = OpenConnection(&shared.open_count);
+                let _ = this.serve(&shared, balancer, connection, &stream).await;
                 let mut actions = Vec::new();
-                of.outbound.borrow_mut().remove(&connection);
-                of.holder.borrow_mut().handle_close(this.local(&of), connection, &mut actions);
-                this.say(&of, actions);
+                shared.outbound.borrow_mut().remove(&connection);
+                shared.holder.borrow_mut().handle_close(this.local_time(&shared), connection, &mut actions);
+                this.apply(&shared, actions);
             });
             let mut tasks = server.tasks.borrow_mut();
             tasks.retain(|task| !task.is_finished());
@@ -191,20 +195,21 @@
         }
     }
 
-    /// The time on a form server's own clock.
-    fn local(&self, server: &Server) -> Millis {
-        self.log.now() * server.rate
+    /// Returns the time on a server's own clock.
+    fn local_time(&self, server: &Server) -> Millis {
+        self.log.now() * server.clock_rate
     }
 
-    /// Waits while the server is stalled, or nothing passes between it and this balancer.
-    async fn gate(&self, server: &Server, balancer: usize) {
+    /// Waits while the server is stalled or partitioned from this balancer.
+    async fn wait_until_reachable(&self, server: &Server, balancer: usize) {
         loop {
             let now = self.log.now();
-            let split = server.partitions.borrow().iter().any(|(b, until)| *b == balancer && *until > now);
-            if !split && server.stalled_until.get() <= now {
+            let partitioned =
+                server.partitions.borrow().iter().any(|(other, until)| *other == balancer && *until > now);
+            if !partitioned && server.stalled_until.get() <= now {
                 return;
             }
-            sleep(GATE_CHECK_INTERVAL_MS).await;
+            sleep(REACHABLE_CHECK_INTERVAL_MS).await;
         }
     }
 
@@ -215,15 +220,15 @@
                 continue;
             }
             let mut actions = Vec::new();
-            server.holder.borrow_mut().tick(self.local(&server), &mut actions);
-            self.say(&server, actions);
+            server.holder.borrow_mut().tick(self.local_time(&server), &mut actions);
+            self.apply(&server, actions);
         }
     }
 
-    /// Has what the model actions go out, or be written down.
-    fn say(&self, server: &Server, actions: Vec<HolderAction>) {
-        for say in actions {
-            match say {
+    /// Carries out the actions of the model.
+    fn apply(&self, server: &Server, actions: Vec<HolderAction>) {
+        for action in actions {
+            match action {
                 HolderAction::SendLine(connection, line) => {
                     if let Some(out) = server.outbound.borrow().get(&connection) {
                         out.push(format!("{line}\r\n").into_bytes());
@@ -251,13 +256,13 @@
         let out = Rc::new(Outbound::default());
         server.outbound.borrow_mut().insert(connection, out.clone());
         let mut owner = None;
-        let mut plain = false;
-        let hearing = async {
+        let mut has_no_session = false;
+        let reading = async {
             loop {
-                self.gate(server, balancer).await;
+                self.wait_until_reachable(server, balancer).await;
                 if let Some(owner) = owner {
                     while let Ok(Some(call)) = frames.next_frame::<Call>() {
-                        self.called(server, owner, &call, &out);
+                        self.handle_call(server, owner, &call, &out);
                     }
                 } else {
                     while let Some(line) = frames.next_line() {
@@ -265,31 +270,31 @@
                         match word {
                             "KEEP" => {
                                 owner = keep::parse_hello(&line);
-                                out.push(keep::welcome_line(server.life.get()).into_bytes());
+                                out.push(keep::welcome_line(server.incarnation.get()).into_bytes());
                                 break;
                             }
                             "PING" => out.push(b"PONG\r\n".to_vec()),
                             "STATS" => {
-                                let (open, most) = (server.open.get(), self.config.capacity as f64);
-                                let load = open as f64 / most;
+                                let (open, capacity) = (server.open_count.get(), self.config.capacity as f64);
+                                let load = open as f64 / capacity;
                                 out.push(format!("PONG x0={load:.3},inflight={open}\r\n").into_bytes());
                             }
-                            "OPEN" => plain = self.open(server, connection, rest, &out),
-                            _ if plain => out.push(line.clone().into_bytes()),
+                            "OPEN" => has_no_session = self.open(server, connection, rest, &out),
+                            _ if has_no_session => out.push(line.clone().into_bytes()),
                             _ => {
                                 let mut actions = Vec::new();
                                 let text = line.trim_end_matches(['\r', '\n']);
-                                let known = server.holder.borrow_mut().handle_line(
-                                    self.local(server),
+                                let handled = server.holder.borrow_mut().handle_line(
+                                    self.local_time(server),
                                     connection,
                                     text,
                                     &mut actions,
                                 );
-                                if !known {
-                                    // Any other line of a client's is answered as it came.
+                                if !handled {
+                                    // Other lines of a client are echoed.
                                     out.push(line.clone().into_bytes());
                                 }
-                                self.say(server, actions);
+                                self.apply(server, actions);
                             }
                         }
                     }
@@ -298,28 +303,28 @@
                     }
                 }
                 stream.readable().await?;
-                self.gate(server, balancer).await;
+                self.wait_until_reachable(server, balancer).await;
                 match stream.try_read_buf(frames.read_buffer()) {
                     Ok(0) => return Ok(()),
                     Ok(_) => {}
-                    Err(e) if e.kind() == ErrorKind::WouldBlock => {}
-                    Err(e) => return Err(e),
+                    Err(error) if error.kind() == ErrorKind::WouldBlock => {}
+                    Err(error) => return Err(error),
                 }
             }
         };
-        let saying = async {
+        let writing = async {
             loop {
-                let next = out.lines.borrow_mut().pop_front();
+                let next = out.queue.borrow_mut().pop_front();
                 match next {
                     Some(bytes) => {
-                        self.gate(server, balancer).await;
-                        let mut left = &bytes[..];
-                        while !left.is_empty() {
+                        self.wait_until_reachable(server, balancer).await;
+                        let mut unsent = &bytes[..];
+                        while !unsent.is_empty() {
                             stream.writable().await?;
-                            match stream.try_write(left) {
-                                Ok(n) => left = &left[n..],
-                                Err(e) if e.kind() == ErrorKind::WouldBlock => {}
-                                Err(e) => return Err(e),
+                            match stream.try_write(unsent) {
+                                Ok(n) => unsent = &unsent[n..],
+                                Err(error) if error.kind() == ErrorKind::WouldBlock => {}
+                                Err(error) => return Err(error),
                             }
                         }
                     }
@@ -329,41 +334,41 @@
             }
         };
         tokio::select! {
-            end = hearing => end,
-            end = saying => end,
+            end = reading => end,
+            end = writing => end,
         }
     }
 
-    /// Takes a first line; true if the connection has no session.
+    /// Handles the first line of a connection. Returns true if the connection has no session.
     fn open(&self, server: &Server, connection: u64, rest: &str, out: &Outbound) -> bool {
-        if server.open.get() > self.config.capacity {
-            out.push(format!("BUSY inflight={}\r\n", server.open.get()).into_bytes());
+        if server.open_count.get() > self.config.capacity {
+            out.push(format!("BUSY inflight={}\r\n", server.open_count.get()).into_bytes());
             out.closing.set(true);
             return false;
         }
-        let pairs = rest.rsplit(' ').next().unwrap_or_default();
-        let Some(held_as) = pairs.split(',').find_map(|pair| pair.strip_prefix("s=")) else {
+        let fields = rest.rsplit(' ').next().unwrap_or_default();
+        let Some(session_key) = fields.split(',').find_map(|pair| pair.strip_prefix("s=")) else {
             out.push(format!("UP {connection:x}\r\n").into_bytes());
             return true;
         };
-        let Some((session, ballot)) = held(held_as) else {
+        let Some((session, ballot)) = parse_session_key(session_key) else {
             out.push(b"SYNTAX\r\n".to_vec());
             out.closing.set(true);
             return false;
         };
         let mut actions = Vec::new();
-        server.holder.borrow_mut().open(self.local(server), connection, session, ballot, &mut actions);
-        self.say(server, actions);
+        server.holder.borrow_mut().open(self.local_time(server), connection, session, ballot, &mut actions);
+        self.apply(server, actions);
         false
     }
 
-    fn called(&self, server: &Server, owner: u64, call: &Call, out: &Outbound) {
-        let now = self.local(server);
-        let reply = if let Some(call::Body::LetGo(ask)) = &call.body {
+    fn handle_call(&self, server: &Server, owner: u64, call: &Call, out: &Outbound) {
+        let now = self.local_time(server);
+        let reply = if let Some(call::Body::LetGo(request)) = &call.body {
             let mut actions = Vec::new();
-            server.holder.borrow_mut().let_go(now, ask.session, ask.ballot, &mut actions);
-            self.say(server, actions);
-            Some(Reply::new(reply::Body::LetGo(*ask)))
+            server.holder.borrow_mut().let_go(now, request.session, request.ballot, &mut actions);
+            self.apply(server, actions);
+            Some(Reply::new(reply::Body::LetGo(*request)))
         } else {
             server.replica.borrow_mut().handle(now, owner, call)
         };
@@ -374,23 +379,23 @@
         }
     }
 
-    /// Something happens to a form server.
-    pub fn fault(self: &Rc<Self>, h: usize, fault: ServerFault) {
-        let server = self.servers[h].clone();
+    /// Injects a fault into a server.
+    pub fn fault(self: &Rc<Self>, index: usize, fault: ServerFault) {
+        let server = self.servers[index].clone();
         let now = self.log.now();
         match fault {
             ServerFault::Stall(ms) => server.stalled_until.set(now + ms),
             ServerFault::Partition(balancer, ms) => server.partitions.borrow_mut().push((balancer, now + ms)),
             ServerFault::Kill(ms) => {
-                server.up.set(false);
-                server.life.set(server.life.get() + 1);
-                // Tasks are dropped with their sockets, which end; whoever holds a session lets go.
+                server.running.set(false);
+                server.incarnation.set(server.incarnation.get() + 1);
+                // Aborting the tasks drops their sockets, which closes the connections. All sessions are released.
                 server.tasks.borrow_mut().drain(..).for_each(|task| task.abort());
                 let mut actions = Vec::new();
-                server.holder.borrow_mut().kill(self.local(&server), &mut actions);
+                server.holder.borrow_mut().kill(self.local_time(&server), &mut actions);
                 server.outbound.borrow_mut().clear();
-                self.say(&server, actions);
-                server.open.set(0);
+                self.apply(&server, actions);
+                server.open_count.set(0);
                 server.stalled_until.set(0.0);
                 *server.replica.borrow_mut() = LeaseReplica::new(MAX_RECORDS, self.config.injected_bug);
                 *server.holder.borrow_mut() = LeaseHolder::new(self.config.injected_bug);
@@ -401,7 +406,7 @@
                     let listeners =
                         server.addresses.iter().map(|address| bind(*address)).collect::<Result<_, _>>();
                     if let Ok(listeners) = listeners {
-                        server.up.set(true);
+                        server.running.set(true);
                         server.started_at.set(this.log.now());
                         this.listen(&server, listeners);
                         this.changed.notify_waiters();
@@ -412,10 +417,10 @@
     }
 }
 
-/// Counts a connection for as long as it is there.
-struct Open<'a>(&'a Cell<usize>);
+/// Counts an open connection until it is dropped.
+struct OpenConnection<'a>(&'a Cell<usize>);
 
-impl Drop for Open<'_> {
+impl Drop for OpenConnection<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
@@ -428,8 +433,8 @@
     socket.listen(1_024)
 }
 
-/// Reads `SESSION.EPOCH.ATTEMPT`.
-fn held(text: &str) -> Option<(SessionId, Ballot)> {
+/// Parses `SESSION.EPOCH.ATTEMPT`.
+fn parse_session_key(text: &str) -> Option<(SessionId, Ballot)> {
     let mut parts = text.split('.');
     let id = parts.next().filter(|id| id.len() == 32)?;
     let half = |text| u64::from_str_radix(text, 16).ok();
