--- a/emulator/src/model/lease_holder.rs
+++ b/emulator/src/model/lease_holder.rs
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub struct LeaseHolder {
     sessions: HashMap<u64, HeldSession>,
-    /// By session: the highest ballot that the server has released and accepts no more, and the time of the last
+    /// By session: the highest ballot that the server has released and no longer accepts, and the time of the last
     /// release.
     released: HashMap<SessionId, (Ballot, Millis)>,
     injected_bug: Option<InjectedBug>,
--- a/emulator/src/model/session_client.rs
+++ b/emulator/src/model/session_client.rs
@@ -74,7 +74,7 @@
     /// Number of these that were sent on the current connection.
     sent_count: usize,
     save_at: Millis,
-    /// Whether the client makes no more saves and only waits for the confirmation of those that it has.
+    /// Whether the client makes no new saves and only waits for the confirmation of those that it has.
     stopping: bool,
     /// Time of the earliest pending [`ClientAction::WakeAt`].
     wake_at: Option<Millis>,
--- a/emulator/src/platform/mod.rs
+++ b/emulator/src/platform/mod.rs
@@ -83,7 +83,7 @@
         /// Id of the request.
         id: u64,
     },
-    /// A client has sent a part of its request and sends no more.
+    /// A client has sent a part of its request and stops sending.
     StoppedMidLine {
         /// Id of the request.
         id: u64,
--- a/emulator/src/platform/servers.rs
+++ b/emulator/src/platform/servers.rs
@@ -95,7 +95,7 @@
         self.behavior.set(behavior);
     }
 
-    /// Stops the server: its connections are cut off and it listens no more.
+    /// Stops the server: its connections are cut off and it stops listening.
     pub fn stop(&self) {
         self.stopped.notify_waiters();
         self.tasks.borrow_mut().drain(..).for_each(|task| task.abort());
