--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A node as the tests see it: events in, actions out.
-#![allow(dead_code, missing_docs, reason = "each test file uses its own part")]
+//! A node that passes events to a balancer and returns the resulting actions.
+#![allow(dead_code, missing_docs, reason = "each test file uses only some of the helpers")]
 
 use marllink::*;
 use std::collections::HashMap;
@@ -7,9 +7,9 @@
 pub struct Node {
     pub balancer: Balancer,
     pub now: Millis,
-    pub next: u64,
-    /// What servers say of their load when they are asked; others do not answer.
-    pub told: HashMap<ServerId, f32>,
+    pub last_request_id: u64,
+    /// The load that each server reports when probed. Probes of other servers fail.
+    pub probe_loads: HashMap<ServerId, f32>,
 }
 
 pub fn settings() -> Settings {
@@ -38,81 +38,91 @@
 
 impl Node {
     pub fn new(settings: Settings, list: Vec<ServerEntry>) -> Self {
-        Self::seeded(1, settings, list)
+        Self::with_seed(1, settings, list)
     }
 
-    pub fn seeded(seed: u64, settings: Settings, list: Vec<ServerEntry>) -> Self {
+    pub fn with_seed(seed: u64, settings: Settings, list: Vec<ServerEntry>) -> Self {
         let mut node = Self {
             balancer: Balancer::new(settings, seed, 1000.0),
             now: 1000.0,
-            next: 0,
-            told: HashMap::new(),
+            last_request_id: 0,
+            probe_loads: HashMap::new(),
         };
-        node.list(ListKind::Cached, list);
+        node.update_list(ListKind::Cached, list);
         node
     }
 
-    pub fn on(&mut self, event: Event) -> Vec<Action> {
+    /// Passes an event to the balancer, answers the resulting probes, and returns all actions.
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
-        let mut at = 0;
-        while at < actions.len() {
-            if let Action::Probe(server) = actions[at] {
-                let load = self.told.get(&server).copied();
+        let mut index = 0;
+        while index < actions.len() {
+            if let Action::Probe(server) = actions[index] {
+                let load = self.probe_loads.get(&server).copied();
                 let report = load.map_or_else(Vec::new, |load| vec![load, 20.0]);
-                let answer = Event::ProbeResult { server, ok: load.is_some(), report };
-                self.balancer.handle(self.now, answer, &mut actions);
+                let result = Event::ProbeResult { server, ok: load.is_some(), report };
+                self.balancer.handle(self.now, result, &mut actions);
             }
-            at += 1;
+            index += 1;
         }
         actions
     }
 
-    pub fn list(&mut self, kind: ListKind, entries: Vec<ServerEntry>) -> Vec<Action> {
-        self.on(Event::ServerList { kind, entries })
+    pub fn update_list(&mut self, kind: ListKind, entries: Vec<ServerEntry>) -> Vec<Action> {
+        self.handle(Event::ServerList { kind, entries })
     }
 
-    pub fn ask(&mut self, left: Millis) -> (RequestId, Vec<Action>) {
-        self.ask_class(0, left)
+    /// Sends a request of the first class and returns its id and the actions.
+    pub fn request(&mut self, time_left_ms: Millis) -> (RequestId, Vec<Action>) {
+        self.request_with_class(0, time_left_ms)
     }
 
-    pub fn ask_class(&mut self, class: u16, left: Millis) -> (RequestId, Vec<Action>) {
-        self.next += 1;
-        let request = RequestId(self.next);
+    pub fn request_with_class(&mut self, class: u16, time_left_ms: Millis) -> (RequestId, Vec<Action>) {
+        self.last_request_id += 1;
+        let request = RequestId(self.last_request_id);
         let class = ClassId(class);
-        let new = NewRequest { request, class, time_left_ms: left, ..NewRequest::default() };
-        (request, self.on(Event::Request(new)))
+        let new = NewRequest { request, class, time_left_ms, ..NewRequest::default() };
+        (request, self.handle(Event::Request(new)))
     }
 
-    /// Places one connection that stands at once, and tells where.
-    pub fn place(&mut self) -> (RequestId, ServerId) {
-        let (request, actions) = self.ask(1000.0);
-        let server = sent(&actions).expect("a server for the request");
-        self.on(Event::Established { request, attempt: AttemptNo(0), latency_ms: 1.0 });
+    /// Opens one connection that is established at once, and returns its request and its server.
+    pub fn open_connection(&mut self) -> (RequestId, ServerId) {
+        let (request, actions) = self.request(1000.0);
+        let server = selected_server(&actions).expect("a server for the request");
+        self.handle(Event::Established { request, attempt: AttemptNo(0), latency_ms: 1.0 });
         (request, server)
     }
 
-    pub fn end(&mut self, request: RequestId, attempt: u8, outcome: Outcome, closed: bool) -> Vec<Action> {
-        self.on(Event::AttemptEnded { request, attempt: AttemptNo(attempt), outcome, closed })
+    pub fn end_attempt(
+        &mut self,
+        request: RequestId,
+        attempt: u8,
+        outcome: Outcome,
+        closed: bool,
+    ) -> Vec<Action> {
+        self.handle(Event::AttemptEnded { request, attempt: AttemptNo(attempt), outcome, closed })
     }
 
-    /// Places so many and counts where they went.
-    pub fn shares(&mut self, n: usize) -> HashMap<ServerId, usize> {
-        let mut shares = HashMap::new();
-        for _ in 0..n {
-            *shares.entry(self.place().1).or_default() += 1;
+    /// Opens `count` connections and counts them by server.
+    pub fn connection_counts(&mut self, count: usize) -> HashMap<ServerId, usize> {
+        let mut counts = HashMap::new();
+        for _ in 0..count {
+            *counts.entry(self.open_connection().1).or_default() += 1;
         }
-        shares
+        counts
     }
 }
 
-pub fn sent(actions: &[Action]) -> Option<ServerId> {
+/// Returns the server of the first attempt sent, if any.
+pub fn selected_server(actions: &[Action]) -> Option<ServerId> {
     actions.iter().find_map(|a| match a {
         Action::Send { server, .. } => Some(*server),
         _ => None,
     })
 }
 
-pub fn answered(actions: &[Action]) -> usize {
+/// Counts the final answers without a connection.
+pub fn rejection_count(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::Reject { .. } | Action::Fail(_))).count()
 }
