--- a/node/tests/graceful_shutdown.rs
+++ b/node/tests/graceful_shutdown.rs
@@ -68,8 +68,8 @@
     for client in [&mut idle, &mut partial] {
         assert_eq!(client.read_line(), "BUSY");
     }
-    // The client has received its answer. Data sent now is read, as unread data would cause a reset and lose the
-    // answer, and discarded.
+    // The client has received its answer. Data sent now is read, as unread data would cause a reset and lose
+    // the answer, and discarded.
     for client in [&mut idle, &mut partial] {
         client.send("g=3f\r\nOPEN 78 2f c=chat,d=2000,g=3f\r\n");
         assert_eq!(client.read_line(), "(end)");
@@ -80,8 +80,8 @@
     assert!(server.listener.accept().is_err(), "a connection was sent to it");
 }
 
-/// The process is stopped, as on an overloaded machine, from SIGTERM until after the time for which it still serves
-/// new clients: when it continues, everything that has arrived meanwhile is available at once.
+/// The process is stopped, as on an overloaded machine, from SIGTERM until after the time for which it still
+/// serves new clients: when it continues, everything that has arrived meanwhile is available at once.
 #[test]
 fn client_that_arrived_while_the_process_was_stopped_is_answered_before_exit() {
     let server = TestServer::new("s-1");
@@ -137,8 +137,8 @@
     assert!(balancer.wait_for_exit().success());
 }
 
-/// The balancer moves a connection while data from its server is unread: closing the socket then would send a reset,
-/// and the last data from the client might be lost.
+/// The balancer moves a connection while data from its server is unread: closing the socket then would send a
+/// reset, and the last data from the client might be lost.
 #[test]
 fn server_connection_is_closed_without_a_reset_when_its_client_is_moved() {
     let server = TestServer::new("s-1");
--- a/node/tests/maintenance.rs
+++ b/node/tests/maintenance.rs
@@ -5,7 +5,8 @@
 
 use support::*;
 
-/// Opens several connections, and checks that `staying` serves all of them and the server in maintenance none.
+/// Opens several connections, and checks that `staying` serves all of them and the server in maintenance
+/// none.
 fn assert_serves_only(balancer: &BalancerProcess, staying: &TestServer, maintained: &TestServer) {
     maintained.listener.set_nonblocking(true).expect("a listening socket");
     for _ in 0..12 {
--- a/node/tests/malformed_input.rs
+++ b/node/tests/malformed_input.rs
@@ -1,5 +1,5 @@
-//! Malformed input from servers and from discovery to the real program: it must not affect others, and must not
-//! reach any client.
+//! Malformed input from servers and from discovery to the real program: it must not affect others, and must
+//! not reach any client.
 #![allow(missing_docs, reason = "test names describe the expected behaviour")]
 
 mod support;
--- a/node/tests/process.rs
+++ b/node/tests/process.rs
@@ -235,8 +235,8 @@
     let mut waiting = balancer.request("d=30000");
     let _unresponsive = server.accept();
     assert_eq!(client.read_to_end(), ["MOVE", "(end)"]);
-    // In a rolling restart, the balancer restarted before may not be serving yet, so connections stay open for a
-    // while.
+    // In a rolling restart, the balancer restarted before may not be serving yet, so connections stay open
+    // for a while.
     assert!(signalled_at.elapsed() > Duration::from_secs(1), "{:?}", signalled_at.elapsed());
     assert_eq!(waiting.read_to_end(), ["BUSY", "(end)"]);
     assert_eq!(new_client.read_to_end(), ["MOVE", "(end)"]);
@@ -454,8 +454,8 @@
 
 #[test]
 fn clients_are_rejected_without_free_descriptors_and_served_once_some_are_free() {
-    // 22 descriptors are reserved for the process and the admin interface and 4 for pending connections, which
-    // leaves 14.
+    // 22 descriptors are reserved for the process and the admin interface and 4 for pending connections,
+    // which leaves 14.
     let server = TestServer::new("s-1");
     let balancer = BalancerProcess::start(&[&server], 40);
     let mut established = Vec::new();
@@ -555,8 +555,8 @@
     send_chunk(&mut watch, &(list_json(42, false, &[server.entry("SERVING")]) + "\n"));
     old.wait_for_log("ServerList { kind: Delta");
     assert_eq!(old.admin_call("POST /form-hosts/s-1/maint"), "HTTP/1.1 200 OK");
-    // Some clients have connected without a request yet. A broken file does not matter, as the old process passes
-    // on its configuration.
+    // Some clients have connected without a request yet. A broken file does not matter, as the old process
+    // passes on its configuration.
     let mut clients: Vec<_> = (0..5).map(|_| old.connect()).collect();
     let text = old.replace_config("{");
     let mut new = old.start_successor();
--- a/node/tests/race_conditions.rs
+++ b/node/tests/race_conditions.rs
@@ -1,5 +1,5 @@
-//! Race conditions of the real program, each forced: by stopping the process while its peers act, by a server that
-//! accepts connections late, or by withholding a byte.
+//! Race conditions of the real program, each forced: by stopping the process while its peers act, by a server
+//! that accepts connections late, or by withholding a byte.
 #![allow(missing_docs, reason = "test names describe the expected behaviour")]
 
 mod support;
@@ -10,9 +10,9 @@
 
 const SOCKET_LIMIT: usize = 256;
 
-/// When the server closes the connection, some of its data is still buffered in the system, as the client reads
-/// slowly, and data from the client is unread. Closing the socket then would send a reset, and the buffered data
-/// would be lost.
+/// When the server closes the connection, some of its data is still buffered in the system, as the client
+/// reads slowly, and data from the client is unread. Closing the socket then would send a reset, and the
+/// buffered data would be lost.
 #[test]
 fn last_data_of_a_server_is_not_lost_to_unread_client_data() {
     let server = TestServer::new("s-1");
@@ -32,8 +32,8 @@
                     client
                 }
             });
-            // A server without data for seconds would count as unresponsive, and flooding may take that long on an
-            // overloaded machine.
+            // A server without data for seconds would count as unresponsive, and flooding may take that long
+            // on an overloaded machine.
             while finished.recv_timeout(Duration::from_millis(200)) == Err(RecvTimeoutError::Timeout) {
                 upstream.send("LOAD 1\r\n");
             }
@@ -100,8 +100,8 @@
     assert_eq!(client.read_line(), "UP 9");
 }
 
-/// The end of a client and a new client arrive at the same time: the resources of the first must be released before
-/// the other is served.
+/// The end of a client and a new client arrive at the same time: the resources of the first must be released
+/// before the other is served.
 #[test]
 fn disconnect_frees_the_id_before_a_simultaneous_new_client_is_served() {
     let (server, other) = (TestServer::new("s-9"), TestServer::new("s-1"));
@@ -238,8 +238,8 @@
     }
 }
 
-/// Discovery answers calls in order, including cancelled ones: a balancer that times out too early and calls again
-/// keeps it from answering any call.
+/// Discovery answers calls in order, including cancelled ones: a balancer that times out too early and calls
+/// again keeps it from answering any call.
 #[test]
 fn second_discovery_call_waits_longer_than_the_first_for_its_answer() {
     let (leaving, staying) = (TestServer::new("s-1"), TestServer::new("s-2"));
@@ -286,8 +286,8 @@
     drop(idle);
 }
 
-/// All requests are buffered in the system before the process reads any of them, and there are only a few slots: a
-/// client that is evicted for a new connection may have sent its request already.
+/// All requests are buffered in the system before the process reads any of them, and there are only a few
+/// slots: a client that is evicted for a new connection may have sent its request already.
 #[test]
 fn client_with_a_complete_request_is_not_evicted_without_an_answer() {
     let server = TestServer::new("s-1");
@@ -316,8 +316,8 @@
     assert_eq!(client.read_to_end(), ["whole", "MOVE", "(end)"]);
 }
 
-/// SIGHUP may arrive while the process still tries to contact a predecessor: it must not terminate the process, and
-/// the file is read as it is then.
+/// SIGHUP may arrive while the process still tries to contact a predecessor: it must not terminate the
+/// process, and the file is read as it is then.
 #[test]
 fn sighup_during_startup_is_handled() {
     let server = TestServer::new("s-1");
--- a/node/tests/store.rs
+++ b/node/tests/store.rs
@@ -40,7 +40,8 @@
         BalancerProcess::start_with(&[&draining, &serving], 256, allow_probes, |handover_socket| {
             create_store(handover_socket, &stored, &discovery_address(handover_socket), age_ms);
         });
-    // The server is probed, and a client that arrives meanwhile waits: the server may only receive another probe.
+    // The server is probed, and a client that arrives meanwhile waits: the server may only receive another
+    // probe.
     let mut probe = serving.accept();
     assert_eq!(probe.read_line(), "PING");
     let mut client = balancer.request("d=4800");
--- a/node/tests/support/mod.rs
+++ b/node/tests/support/mod.rs
@@ -19,8 +19,8 @@
     Ipv4Addr::new(127, 32 + high % 64, low, NEXT.fetch_add(1, Ordering::Relaxed))
 }
 
-/// Binds a socket to an address that may still be in use: a process that another test has just started shares all
-/// open sockets until it executes its own program.
+/// Binds a socket to an address that may still be in use: a process that another test has just started shares
+/// all open sockets until it executes its own program.
 fn bind_reusable(address: SocketAddr) -> socket2::Socket {
     let socket =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a free descriptor");
@@ -103,7 +103,8 @@
         }
     }
 
-    /// Returns the next line without its line end, "(end)" at the end of the stream, or "(reset)" after a reset.
+    /// Returns the next line without its line end, "(end)" at the end of the stream, or "(reset)" after a
+    /// reset.
     pub fn read_line(&mut self) -> String {
         let mut line = String::new();
         match self.reader.read_line(&mut line) {
@@ -159,8 +160,8 @@
         )
     }
 
-    /// Creates a server with a full accept queue: until its first `accept`, the system drops connection attempts to
-    /// it. Also returns the connection that fills the queue.
+    /// Creates a server with a full accept queue: until its first `accept`, the system drops connection
+    /// attempts to it. Also returns the connection that fills the queue.
     pub fn with_full_backlog(uid: &'static str) -> (Self, TcpStream) {
         let socket = bind_reusable(SocketAddr::new(unique_address().into(), 0));
         socket.listen(0).expect("a bound socket");
@@ -257,7 +258,8 @@
         Self::start_with(servers, socket_limit, |config| config, prepare)
     }
 
-    /// Starts a balancer with a changed configuration after `prepare` has run with the path of the handover socket.
+    /// Starts a balancer with a changed configuration after `prepare` has run with the path of the handover
+    /// socket.
     pub fn start_with<T>(
         servers: &[&TestServer],
         socket_limit: usize,
@@ -284,8 +286,8 @@
         Self::spawn(listen, admin, discovery, std::rc::Rc::new(TempFolder(folder)), 0)
     }
 
-    /// Starts a balancer whose system calls fail according to a fault plan, in which `@LISTEN` is the port at which
-    /// it listens.
+    /// Starts a balancer whose system calls fail according to a fault plan, in which `@LISTEN` is the port at
+    /// which it listens.
     pub fn start_with_faults(servers: &[&TestServer], plan: &str) -> Self {
         Self::start_prepared(servers, 256, |socket| {
             let folder = socket.parent().expect("a path in the test's folder");
@@ -392,7 +394,8 @@
         client
     }
 
-    /// Establishes a connection through the balancer to a server, and returns the client's and the server's end.
+    /// Establishes a connection through the balancer to a server, and returns the client's and the server's
+    /// end.
     pub fn establish(&self, server: &TestServer) -> (Peer, Peer) {
         let mut client = self.request("d=2000");
         let mut upstream = server.accept();
--- a/node/tests/system_call_failures.rs
+++ b/node/tests/system_call_failures.rs
@@ -111,8 +111,8 @@
     accept_established(&server, &mut client);
 }
 
-/// Checks that new connections are served although this fault occurs: it must not count as a failure of the only
-/// server.
+/// Checks that new connections are served although this fault occurs: it must not count as a failure of the
+/// only server.
 fn assert_serves_despite(fault: &str, plan: impl Fn(u16) -> String) {
     let server = TestServer::new("s-1");
     let balancer = BalancerProcess::start_with_faults(&[&server], &plan(port(&server)));
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -47,6 +47,7 @@
         node.now += 10.0;
         slow_start_count += u32::from(node.open_connection().1 == ServerId(2));
     }
-    // The other server took all connections so far, so the new one is due a share of that rate, not half of all.
+    // The other server took all connections so far, so the new one is due a share of that rate, not half of
+    // all.
     assert!(slow_start_count <= 12, "{slow_start_count} of 60 went to the server in slow start within 0.6 s");
 }
--- a/tests/regressions.rs
+++ b/tests/regressions.rs
@@ -50,8 +50,8 @@
 
 #[test]
 fn last_server_that_is_not_overloaded_does_not_get_all_connections() {
-    // Guards against overloading the last server when all others are overloaded: without a limit it received ten
-    // times its share.
+    // Guards against overloading the last server when all others are overloaded: without a limit it received
+    // ten times its share.
     let mut node = Node::new(settings(), entries(10));
     let opened: Vec<_> = (0..100).map(|_| node.open_connection()).collect();
     let last = opened[0].1;
@@ -60,20 +60,20 @@
             report_message_delay(&mut node, *request, 30.0);
         }
     }
-    let (mut taken, mut rejected) = (0, 0);
+    let (mut accepted, mut rejected) = (0, 0);
     for _ in 0..100 {
         let (_, actions) = node.request(250.0);
-        taken += usize::from(selected_server(&actions) == Some(last));
+        accepted += usize::from(selected_server(&actions) == Some(last));
         rejected += rejection_count(&actions);
     }
-    assert!(taken > 0 && taken < 30, "{taken} taken");
-    assert_eq!(taken + rejected, 100);
+    assert!(accepted > 0 && accepted < 30, "{accepted} accepted");
+    assert_eq!(accepted + rejected, 100);
 }
 
 #[test]
 fn server_that_drops_connections_is_ejected_for_longer_each_time() {
-    // A server that accepts connections and drops them always has the fewest, so picking by count alone would send
-    // it every connection (i9f39d2).
+    // A server that accepts connections and drops them always has the fewest, so picking by count alone would
+    // send it every connection (i9f39d2).
     let mut node = Node::new(settings(), entries(4));
     let mut drops = 0;
     for i in 0..400 {
@@ -92,8 +92,8 @@
 
 #[test]
 fn overloaded_fleet_rejects_new_connections() {
-    // i9f39d2: with many nodes and few connections on each, a node knows nothing of most servers, so they look
-    // healthy.
+    // i9f39d2: with many nodes and few connections on each, a node knows nothing of most servers, so they
+    // look healthy.
     let mut node = Node::new(settings(), entries(40));
     let opened: Vec<_> = (0..20).map(|_| node.open_connection()).collect();
     for (request, _) in &opened {
@@ -107,7 +107,8 @@
 
 #[test]
 fn fleet_limit_recovers_from_zero() {
-    // i6e712b: after all connections were lost in an overload, the limit was zero, and multiplying did not raise it.
+    // i6e712b: after all connections were lost in an overload, the limit was zero, and multiplying did not
+    // raise it.
     let mut node = Node::new(settings(), entries(40));
     let opened: Vec<_> = (0..100).map(|_| node.open_connection()).collect();
     for round in 0..4 {
@@ -130,7 +131,8 @@
 
 #[test]
 fn servers_that_join_do_not_cause_rejections() {
-    // i0722f5: the fleet more than doubled within seconds. The mean load fell, and with it the limit derived from it.
+    // i0722f5: the fleet more than doubled within seconds. The mean load fell, and with it the limit derived
+    // from it.
     let mut node = Node::new(settings(), entries(10));
     node.connection_counts(100);
     node.now = 20_000.0;
@@ -180,8 +182,8 @@
             if round == 1 {
                 delays.push(delay_ms as u64);
             }
-            // Changes must be known 6 s after discovery recovers, regardless of earlier failures, but calls without
-            // a delay would be a busy loop.
+            // Changes must be known 6 s after discovery recovers, regardless of earlier failures, but calls
+            // without a delay would be a busy loop.
             if round > 0 {
                 assert!(
                     (200.0..=1_000.0).contains(&delay_ms),
@@ -372,7 +374,8 @@
         report_load(&mut node, server, 0.5);
     }
     assert_eq!(tick(&mut node), 0);
-    // Half of its capacity is 20 connections of 1,000; one connection that grows by 12,000 raises the load to 0.8.
+    // Half of its capacity is 20 connections of 1,000; one connection that grows by 12,000 raises the load to
+    // 0.8.
     node.handle(Event::ConnectionLoad { request, load: 13_000.0 });
     for _ in 0..10 {
         assert_ne!(node.open_connection().1, filling);
@@ -435,7 +438,8 @@
 
 #[test]
 fn pick_is_answered_when_the_only_server_is_removed_while_probed() {
-    // Found by the fleet simulation: the server was removed while it was probed, and the client got no answer.
+    // Found by the fleet simulation: the server was removed while it was probed, and the client got no
+    // answer.
     let mut node = probing_node(1);
     let (request, mut actions) = (RequestId(1), Vec::new());
     let new = NewRequest { request, time_left_ms: 2_000.0, ..NewRequest::default() };
@@ -453,7 +457,8 @@
 
 #[test]
 fn fleet_below_its_overload_limit_accepts_requests_at_high_load() {
-    // The limit, derived from the mean of the reports, restricted a node that had just moved connections to the few it had left.
+    // The limit, derived from the mean of the reports, restricted a node that had just moved connections to
+    // the few it had left.
     let mut node = probing_node(4);
     node.connection_counts(80);
     run_ticks(&mut node, 10);
@@ -468,8 +473,8 @@
 
 #[test]
 fn request_that_fails_everywhere_does_not_eject_servers() {
-    // For example an invalid request, made up by a client of another node: ten of these ejected half of the servers,
-    // and the retry throttle rejected the clients of the others.
+    // For example an invalid request, made up by a client of another node: ten of these ejected half of the
+    // servers, and the retry throttle rejected the clients of the others.
     let mut node = Node::new(settings(), entries(6));
     for _ in 0..4 {
         let (request, mut actions) = node.request(2_000.0);
@@ -528,8 +533,8 @@
 
 #[test]
 fn restarted_server_gets_clients_although_the_node_opened_none_for_long() {
-    // The slow-start budget was estimated from the node's own new connections alone; a node that rejects everything
-    // has none.
+    // The slow-start budget was estimated from the node's own new connections alone; a node that rejects
+    // everything has none.
     let mut settings = settings();
     settings.limits.probe = true;
     settings.report_fields = vec![ReportField::Utilization, ReportField::InFlight];
@@ -548,18 +553,18 @@
     run_ticks(&mut node, 300);
     let restarted = ServerEntry { started_at: node.now, ..entry(4, 1.0) };
     node.update_list(ListKind::Delta, vec![restarted]);
-    let mut taken = 0;
+    let mut accepted = 0;
     for _ in 0..20 {
         run_ticks(&mut node, 1);
         for server in 1..=3 {
             report_load(&mut node, ServerId(server), 0.75);
         }
         let (_, actions) = node.request(100.0);
-        taken += usize::from(selected_server(&actions) == Some(ServerId(4)));
+        accepted += usize::from(selected_server(&actions) == Some(ServerId(4)));
     }
-    // 20 connections are a load of 0.4 to 0.75, so 27 to 50 fill a warmed-up server, after 9 s. It starts at 0.35 of
-    // that, and half of three times its capacity may be sent.
-    assert!((3..=12).contains(&taken), "{taken}");
+    // 20 connections are a load of 0.4 to 0.75, so 27 to 50 fill a warmed-up server, after 9 s. It starts at
+    // 0.35 of that, and half of three times its capacity may be sent.
+    assert!((3..=12).contains(&accepted), "{accepted}");
 }
 
 fn set_maintenance(node: &mut Node, begins: bool) -> Vec<Action> {
@@ -590,8 +595,8 @@
         );
     }
     set_maintenance(&mut node, false);
-    // After maintenance it is in slow start. It gets the first connection, as random draws might not select it for
-    // long and operators wait to see it serve.
+    // After maintenance it is in slow start. It gets the first connection, as random draws might not select
+    // it for long and operators wait to see it serve.
     assert_eq!(node.open_connection().1, ServerId(1));
     let slow_start_count = node.connection_counts(40).get(&ServerId(1)).copied().unwrap_or_default();
     assert!(slow_start_count < 10, "{slow_start_count} of 40 to a server in slow start, one of four");
@@ -620,7 +625,8 @@
 
 #[test]
 fn unsafe_request_fails_at_once_when_it_may_have_been_executed() {
-    // The answer was held until the end of the latency goal, waiting for a server although none could be used.
+    // The answer was held until the end of the latency goal, waiting for a server although none could be
+    // used.
     let mut settings = settings();
     settings.classes[0].idempotency = Idempotency::Unsafe;
     let mut node = Node::new(settings, entries(3));
@@ -698,8 +704,8 @@
 
 #[test]
 fn slow_start_budget_grows_while_the_server_reports_little_load() {
-    // While servers were replaced one after another, clients were rejected for seconds although the servers that had
-    // just started were nearly empty.
+    // While servers were replaced one after another, clients were rejected for seconds although the servers
+    // that had just started were nearly empty.
     let sends_at_load = |slow_start_load: f32| {
         let mut settings = settings();
         settings.limits.probe = true;
@@ -768,8 +774,8 @@
     moved.sort();
     expected.sort();
     assert!(moved == expected && !moved.is_empty(), "{moved:?} {expected:?}");
-    // The other server of the zone is probed although none of its replies is overdue; those of the other zone are
-    // not.
+    // The other server of the zone is probed although none of its replies is overdue; those of the other zone
+    // are not.
     assert!(actions.contains(&Action::Probe(ServerId(3))), "{actions:?}");
     assert!(!actions.iter().any(|a| matches!(a, Action::Probe(ServerId(0 | 1)))), "{actions:?}");
     node.now += 200.0;
@@ -795,8 +801,8 @@
 
 #[test]
 fn pick_that_waits_for_an_earlier_probe_resumes_after_its_timeout() {
-    // A server that seemed unresponsive was probed and never answered. A pick that had drawn it waited only for that
-    // probe, and its client got no answer in time.
+    // A server that seemed unresponsive was probed and never answered. A pick that had drawn it waited only
+    // for that probe, and its client got no answer in time.
     let mut settings = settings();
     settings.limits.probe = true;
     settings.report_fields = vec![ReportField::Utilization];
