--- a/sessions/src/timers.rs
+++ b/sessions/src/timers.rs
@@ -1,78 +1,79 @@
-//! What is due when: each thing has one time at most, and only what is due is looked at.
+//! Timers of the state machine: at most one per key. Only expired timers are visited.
 
 use marllink::Millis;
 use marllink_lease_protocol::SessionId;
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
 
-/// What may be due.
+/// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Due {
-    /// Something about the link to this server.
+pub enum TimerKey {
+    /// The link to this server.
     Link(u64),
-    /// Something about this session.
+    /// This session.
     Session(SessionId),
-    /// Some sessions' keepers are to be looked at.
+    /// The next batch of reviews of replicas.
     Review,
 }
 
-/// The times, in microseconds so that they have an order.
+/// Pending timers. Times are in microseconds, as integers have a total order.
 #[derive(Debug, Default)]
 pub struct Timers {
-    order: BTreeSet<(u64, Due)>,
-    times: FxHashMap<Due, u64>,
-    /// For when the node was last asked to call back.
-    armed: Option<u64>,
+    queue: BTreeSet<(u64, TimerKey)>,
+    deadlines: FxHashMap<TimerKey, u64>,
+    /// Time of the callback that was last requested from the node.
+    callback_at: Option<u64>,
 }
 
 impl Timers {
-    /// Makes something due then; not at all if that is infinite.
-    pub fn set(&mut self, due: Due, at: Millis) {
-        self.clear(due);
+    /// Sets a timer. An infinite time clears it.
+    pub fn set(&mut self, key: TimerKey, at: Millis) {
+        self.clear(key);
         if at.is_finite() {
-            // Rounded up: what is looked at a moment too soon would be due again at once, for ever.
+            // Rounded up: a timer that fires slightly early would be set again for the same time, in an
+            // endless loop.
             let at = (at.max(0.0) * 1_000.0).ceil() as u64 + 1;
-            self.order.insert((at, due));
-            self.times.insert(due, at);
+            self.queue.insert((at, key));
+            self.deadlines.insert(key, at);
         }
     }
 
-    /// Makes something due then, unless it is sooner.
-    pub fn sooner(&mut self, due: Due, at: Millis) {
-        if self.times.get(&due).is_none_or(|before| (*before as f64) > at * 1_000.0 + 2.0) {
-            self.set(due, at);
+    /// Sets a timer unless it is set for an earlier time.
+    pub fn set_earlier(&mut self, key: TimerKey, at: Millis) {
+        if self.deadlines.get(&key).is_none_or(|before| (*before as f64) > at * 1_000.0 + 2.0) {
+            self.set(key, at);
         }
     }
 
-    /// It is not due any more.
-    pub fn clear(&mut self, due: Due) {
-        if let Some(before) = self.times.remove(&due) {
-            self.order.remove(&(before, due));
+    /// Clears a timer.
+    pub fn clear(&mut self, key: TimerKey) {
+        if let Some(before) = self.deadlines.remove(&key) {
+            self.queue.remove(&(before, key));
         }
     }
 
-    /// Takes the next that is due.
-    pub fn pop(&mut self, now: Millis) -> Option<Due> {
-        let (at, due) = *self.order.first()?;
+    /// Removes and returns the next expired timer.
+    pub fn pop_due(&mut self, now: Millis) -> Option<TimerKey> {
+        let (at, key) = *self.queue.first()?;
         if at as f64 > now * 1_000.0 {
             return None;
         }
-        self.clear(due);
-        Some(due)
+        self.clear(key);
+        Some(key)
     }
 
-    /// The node has called back.
+    /// Handles the callback by the node.
     pub fn fired(&mut self) {
-        self.armed = None;
+        self.callback_at = None;
     }
 
-    /// In how long the node is to call back, if that is sooner than it was asked before.
-    pub fn arm(&mut self, now: Millis) -> Option<Millis> {
-        let (first, _) = *self.order.first()?;
-        if self.armed.is_some_and(|armed| armed <= first) {
+    /// Returns the delay of the next callback, if it is earlier than the one requested before.
+    pub fn next_delay(&mut self, now: Millis) -> Option<Millis> {
+        let (first, _) = *self.queue.first()?;
+        if self.callback_at.is_some_and(|callback_at| callback_at <= first) {
             return None;
         }
-        self.armed = Some(first);
+        self.callback_at = Some(first);
         Some((first as f64 / 1_000.0 - now).max(0.0))
     }
 }
@@ -82,20 +83,22 @@
     use super::*;
 
     #[test]
-    fn nothing_is_due_before_its_time_and_the_node_is_asked_only_for_what_is_sooner() {
+    fn no_timer_fires_early_and_callbacks_are_requested_only_for_earlier_times() {
         let mut timers = Timers::default();
-        for (due, at) in [(Due::Link(1), 1_000.000_4), (Due::Review, 2_000.0), (Due::Link(2), 3_000.0)] {
-            timers.set(due, at);
+        for (key, at) in
+            [(TimerKey::Link(1), 1_000.000_4), (TimerKey::Review, 2_000.0), (TimerKey::Link(2), 3_000.0)]
+        {
+            timers.set(key, at);
         }
-        assert!(timers.arm(500.0).is_some_and(|ms| (500.0..501.0).contains(&ms)));
-        assert_eq!(timers.arm(500.0), None);
-        assert_eq!(timers.pop(1_000.000_3), None);
-        assert_eq!(timers.pop(1_000.01), Some(Due::Link(1)));
+        assert!(timers.next_delay(500.0).is_some_and(|ms| (500.0..501.0).contains(&ms)));
+        assert_eq!(timers.next_delay(500.0), None);
+        assert_eq!(timers.pop_due(1_000.000_3), None);
+        assert_eq!(timers.pop_due(1_000.01), Some(TimerKey::Link(1)));
         timers.fired();
-        timers.set(Due::Review, 2_500.0);
-        timers.set(Due::Link(2), f64::INFINITY);
-        assert_eq!(timers.pop(2_400.0), None);
-        assert_eq!(timers.pop(2_501.0), Some(Due::Review));
-        assert_eq!((timers.pop(1e9), timers.arm(1e9)), (None, None));
+        timers.set(TimerKey::Review, 2_500.0);
+        timers.set(TimerKey::Link(2), f64::INFINITY);
+        assert_eq!(timers.pop_due(2_400.0), None);
+        assert_eq!(timers.pop_due(2_501.0), Some(TimerKey::Review));
+        assert_eq!((timers.pop_due(1e9), timers.next_delay(1e9)), (None, None));
     }
 }
