--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -30,7 +30,7 @@
         reply.extend_from_slice(&[0; 8]);
         let mut record_count = 0u32;
         while !reader.done() {
-            let start = reader.error("");
+            let record_start = reader.error("");
             let (instance, record) = reader.record()?;
             let index = usize::from(instance);
             if self.balancers.len() <= index {
@@ -45,7 +45,7 @@
                 Record::Attach(seed, text) => {
                     let settings = marllink_settings::parse(text).map_err(|e| Malformed {
                         message: format!("settings of instance {instance}: {e}"),
-                        ..start
+                        ..record_start
                     })?;
                     self.balancers[index] = Some(Balancer::new(settings.balancing, seed, now));
                     continue;
@@ -54,7 +54,7 @@
             };
             let Some(balancer) = &mut self.balancers[index] else {
                 let message = format!("instance {instance} is not attached");
-                return Err(Malformed { message, ..start });
+                return Err(Malformed { message, ..record_start });
             };
             self.actions.clear();
             let actions = &mut self.actions;
--- a/affinity/src/group_sizes.rs
+++ b/affinity/src/group_sizes.rs
@@ -4,7 +4,7 @@
 
 /// Connections of other groups that are assumed in addition to those seen: of the first two connections of a balancer
 /// one is half, which says little about the fleet.
-const PRIOR_CONNECTIONS_COUNT: f64 = 16.0;
+const PRIOR_CONNECTION_COUNT: f64 = 16.0;
 /// Number of connections after which all counts are halved, so that old connections fade and memory stays bounded.
 const HALVING_COUNT: f64 = 4_096.0;
 
@@ -32,7 +32,7 @@
     /// `uniform` is a random number in 0..1.
     #[must_use]
     pub fn server_count(&self, group: u64, servers: usize, uniform: f64) -> usize {
-        let share = self.counts.get(&group).copied().unwrap_or(0.0) / (self.total + PRIOR_CONNECTIONS_COUNT);
+        let share = self.counts.get(&group).copied().unwrap_or(0.0) / (self.total + PRIOR_CONNECTION_COUNT);
         ((share * servers as f64 + uniform).floor() as usize).clamp(1, servers.max(1))
     }
 }
--- a/affinity/src/lib.rs
+++ b/affinity/src/lib.rs
@@ -18,7 +18,7 @@
 pub use group_sizes::GroupSizes;
 
 /// Returns the score of a server for a group; the server with the highest score is the group's first. A server of
-/// twice the weight comes first for twice as many groups. A server without a positive weight comes last.
+/// twice the weight is the first of twice as many groups. A server without a positive weight comes last.
 #[must_use]
 pub fn score(group: u64, server: u64, weight: f64) -> f64 {
     if weight <= 0.0 {
--- a/rate-limits/src/connection_limit.rs
+++ b/rate-limits/src/connection_limit.rs
@@ -39,7 +39,7 @@
         Self { limit: UNLIMITED, peak: 0.0, reviewed_at: now }
     }
 
-    /// Returns whether a review would have an effect now.
+    /// Returns whether [`Self::review`] would have an effect now.
     #[must_use]
     pub fn review_due(&self, now: Millis) -> bool {
         now - self.reviewed_at >= REVIEW_INTERVAL_MS
--- a/rate-limits/src/lib.rs
+++ b/rate-limits/src/lib.rs
@@ -33,7 +33,7 @@
         at -= share;
         at < 0.0
     });
-    // Falls back to the last positive share, as rounding errors may leave a rest.
+    // Falls back to the last positive share, as rounding errors may leave a remainder.
     found.or_else(|| shares.iter().rposition(|share| *share > 0.0))
 }
 
--- a/rate-limits/src/shutdown.rs
+++ b/rate-limits/src/shutdown.rs
@@ -5,10 +5,10 @@
 
 use crate::Millis;
 
-/// Minimum time for which new connections are accepted after SIGTERM: the front end sends them for about as long,
+/// Minimum time for which new connections are accepted after SIGTERM: the front end sends them for another 400 ms,
 /// and the margin is for a process that lags behind.
 const MIN_ACCEPT_MS: Millis = 450.0;
-/// Upper bound for the longest deadline.
+/// Upper bound for the longest deadline: a longer one counts as this.
 const MAX_DEADLINE_MS: Millis = 3_000.0;
 /// Time from the longest deadline to SIGKILL.
 const KILL_MARGIN_MS: Millis = 700.0;
--- a/recovery/src/lib.rs
+++ b/recovery/src/lib.rs
@@ -2,11 +2,11 @@
 //!
 //! A list that was stored on disk gives the servers of that time. A server that has gone since costs each request
 //! that is sent to it an attempt, and one that was replaced under the same address needs a slow start. The servers of
-//! a list beyond the trusted age are therefore *unverified*: each is probed first, a few at a time and in an order of
-//! the balancer's own, so that the balancers of a fleet that starts together do not all probe the same server. A
-//! server that answers is admitted; one that does not is probed again with increasing delays. Servers that were
-//! draining or gone stay excluded until discovery lists them otherwise. A response of discovery, be it a whole list or
-//! the changes to the list at hand, ends the verification.
+//! a list beyond the trusted age are therefore *unverified*: each is probed first, a few at a time and in a random
+//! order, so that the balancers of a fleet that starts together do not all probe the same server. A server that
+//! answers is admitted; one that does not is probed again with increasing delays. Servers that were draining or gone
+//! stay excluded until discovery lists them otherwise. A response of discovery, either a whole list or the changes to
+//! the stored one, ends the verification.
 //!
 //! The library does no I/O and reads no clock: time is an argument. Call [`Recovery::new`], then [`Recovery::start`]
 //! once, then [`Recovery::handle`] with each event, and with [`Event::Timeout`] at [`Recovery::next_timeout`].
@@ -113,7 +113,7 @@
     Admitted,
 }
 
-/// ProbeState of the startup of one process.
+/// State of the startup of one process.
 #[derive(Clone, Debug)]
 pub struct Recovery<S> {
     limits: Limits,
@@ -152,7 +152,7 @@
         if servers.is_empty() {
             return;
         }
-        // If the clock was set back, the list may be from the future, and its real age is unknown.
+        // If the clock was set back, the list may appear to be from the future: its real age is unknown.
         let trusted = age_ms.is_none_or(|age| (0.0..=self.limits.trusted_age_ms).contains(&age));
         if trusted {
             commands.extend(servers.into_iter().map(|server| Command::Admit(server)));
@@ -173,7 +173,7 @@
     pub fn handle(&mut self, now: Millis, event: Event<S>, commands: &mut Vec<Command<S>>) {
         match event {
             Event::ListReceived => {
-                // Servers that discovery has not changed are as they were listed.
+                // Entries that discovery has not changed are valid as they were stored.
                 let unverified = self.servers.drain(..).filter(|s| !matches!(s.1, ProbeState::Admitted));
                 commands.extend(unverified.map(|s| Command::Admit(s.0)));
                 self.enter(now, Phase::ListTrusted, commands);
@@ -236,7 +236,7 @@
         }
     }
 
-    /// When [`Event::Timeout`] is due; `None` if nothing is pending.
+    /// Returns when [`Event::Timeout`] is due; `None` if nothing is pending.
     #[must_use]
     pub fn next_timeout(&self) -> Option<Millis> {
         let at_limit = self.servers.iter().filter(|s| matches!(s.1, ProbeState::Probing { .. })).count()
--- a/server-state/src/capacity.rs
+++ b/server-state/src/capacity.rs
@@ -59,7 +59,7 @@
     }
 }
 
-/// Returns 0 for "unknown" when all servers report to be idle: a huge quotient would bound nothing.
+/// Returns 0 for "unknown" while all servers report no load: a huge quotient would not limit anything.
 fn quotient(numerator: f64, denominator: f64) -> f64 {
     if denominator > 1e-9 { numerator / denominator } else { 0.0 }
 }
--- a/server-state/src/lib.rs
+++ b/server-state/src/lib.rs
@@ -108,7 +108,7 @@
     /// Refreshes the reports of these servers independently of any pick, for example those with own
     /// connections.
     Refresh(Vec<S>),
-    /// This server may be unresponsive: probes it without spending credit, unless a probe is unnecessary.
+    /// This server may be unresponsive: probes it without spending credit, if [`ProbePool::should_probe`].
     Suspected(S),
     /// The server was removed: forgets its report. Picks that wait for it alone proceed at the next
     /// [`Event::ProbeCompleted`] or [`Event::Timeout`]; this event appends no command.
@@ -127,9 +127,10 @@
 }
 
 #[derive(Clone, Debug)]
-struct ServerEntry<R> {
+struct TrackedServer<R> {
     /// The last report, with the time at which it arrived.
     last_report: Option<(Millis, R)>,
+    /// Number of picks that this report has served.
     uses: u32,
     /// When the unanswered probe was sent, if there is one.
     probed_at: Option<Millis>,
@@ -150,7 +151,7 @@
 #[derive(Clone, Debug)]
 pub struct ProbePool<S, R> {
     settings: ProbeSettings,
-    servers: FxHashMap<S, ServerEntry<R>>,
+    servers: FxHashMap<S, TrackedServer<R>>,
     waiting: Vec<WaitingPick<S>>,
     in_flight: usize,
     refresh_credit: f64,
@@ -203,7 +204,7 @@
         }
     }
 
-    /// When [`Event::Timeout`] is due; `None` while no pick waits.
+    /// Returns when [`Event::Timeout`] is due; `None` while no pick waits.
     #[must_use]
     pub fn next_timeout(&self) -> Option<Millis> {
         self.waiting.iter().map(|waiting| waiting.deadline).reduce(f64::min)
@@ -234,9 +235,13 @@
         self.entry(server).last_report = Some((at, report));
     }
 
-    fn entry(&mut self, server: S) -> &mut ServerEntry<R> {
-        let empty =
-            || ServerEntry { last_report: None, uses: 0, probed_at: None, backoff_until: f64::NEG_INFINITY };
+    fn entry(&mut self, server: S) -> &mut TrackedServer<R> {
+        let empty = || TrackedServer {
+            last_report: None,
+            uses: 0,
+            probed_at: None,
+            backoff_until: f64::NEG_INFINITY,
+        };
         self.servers.entry(server).or_insert_with(empty)
     }
 
@@ -246,8 +251,8 @@
         self.servers.get(&server)?.last_report.as_ref().map(|report| now - report.0)
     }
 
-    /// Returns whether the last probe of this server failed or has waited for longer than a pick does. This
-    /// speaks against the server only while others answer.
+    /// Returns whether a probe of this server failed recently, or has been unanswered for longer than a pick
+    /// waits. That counts against the server only while others answer.
     #[must_use]
     pub fn is_unresponsive(&self, now: Millis, server: S) -> bool {
         let Some(server) = self.servers.get(&server) else { return false };
@@ -348,7 +353,7 @@
     }
 
     fn expire_probes(&mut self, now: Millis) {
-        let lost = |server: &ServerEntry<R>| {
+        let lost = |server: &TrackedServer<R>| {
             server.probed_at.is_some_and(|probed_at| now - probed_at > self.settings.probe_timeout_ms)
         };
         for server in self.servers.values_mut().filter(|s| lost(s)) {
--- a/server-state/src/unresponsive.rs
+++ b/server-state/src/unresponsive.rs
@@ -1,8 +1,8 @@
 //! Detection of unresponsive servers: a machine that has vanished or is cut off sends nothing.
 //!
-//! Its connections stay open, lines sent on them get no reply, and new connections never come up. No single
-//! symptom is conclusive: an overloaded server replies late, and the first packet of a connection may be lost.
-//! Two symptoms of different kinds within a short time are conclusive, and the first is a reason to probe.
+//! Its connections stay open, lines sent on them get no reply, and new connections are never established. No
+//! single symptom is conclusive: an overloaded server replies late, and the first packet of a connection may be
+//! lost. Two symptoms of different kinds within a short time are conclusive, and the first is a reason to probe.
 
 use crate::Millis;
 use rustc_hash::FxHashMap;
@@ -16,7 +16,7 @@
 pub enum Symptom {
     /// A line on an own connection has waited for a reply for far longer than permitted.
     OverdueReply,
-    /// A connection to the server neither came up nor was refused within the connect timeout.
+    /// A connection to the server was neither established nor refused within the connect timeout.
     ConnectTimeout,
     /// Another server next to it was found unresponsive: machines are seldom lost or cut off alone.
     NeighbourUnresponsive,
@@ -27,7 +27,7 @@
 pub enum Verdict {
     /// The server is unresponsive. Returned once, and again only after new symptoms.
     Unresponsive,
-    /// The server may be unresponsive: a probe would tell.
+    /// The server may be unresponsive and should be probed.
     Suspect,
     /// No new information.
     Unchanged,
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -27,8 +27,8 @@
 /// Zone credit, in connections per 0.01 of the cross-zone price: a server of the own zone is still preferred
 /// if it holds this many connections more than others.
 const ZONE_CREDIT_CONNECTIONS: f64 = 0.8;
-/// Maximum number of rounds of draws while all drawn servers are unusable (recently tried, or in slow start
-/// with an exhausted budget).
+/// Maximum number of rounds of draws within one pick while all drawn servers are unusable (recently tried, or
+/// in slow start with an exhausted budget).
 const MAX_DRAW_ROUNDS: usize = 8;
 /// Number of servers beyond a group's share of the fleet that also receive group credit, each less of it.
 const GROUP_EXTRA_SERVER_COUNT: usize = 2;
@@ -43,7 +43,7 @@
 const DRAW_MULTIPLIER: usize = 3;
 /// Maximum number of tied servers that become candidates and are probed before one of them is picked.
 const MAX_CANDIDATE_COUNT: usize = 3;
-/// Maximum number of further draws if all candidates are full according to their reports.
+/// Maximum number of repeated draws if no candidate is usable, for example if all report that they are full.
 const MAX_REDRAW_COUNT: u8 = 2;
 /// Connections added to the count of a server that does not answer probes: it only receives what no other
 /// server may take.
@@ -62,7 +62,7 @@
 /// all connections.
 const FAILURE_RESET_MS: Millis = 5_000.0;
 /// Maximum share of the ready servers that may be ejected at once: if more appear to fail, the cause lies
-/// elsewhere.
+/// elsewhere. Servers that accept no connection or are unresponsive are exempt: all but one may be ejected.
 const MAX_EJECTED_RATIO: f64 = 0.5;
 /// Failures of a server within this time count as one: a lost server resets all its connections together.
 const FAILURE_MERGE_MS: Millis = 50.0;
@@ -70,7 +70,8 @@
 const BUSY_LOAD_RATIO: f64 = 0.7;
 /// Load from which connections are moved off a server, down to `BUSY_LOAD_RATIO`.
 const OVERLOAD_RATIO: f64 = 0.8;
-/// Minimum time between two such moves: reports do not yet reflect what other nodes have moved.
+/// Minimum time between two such rebalancings of a server: its reports do not yet reflect what other nodes
+/// have moved.
 const REBALANCE_INTERVAL_MS: Millis = 2_500.0;
 /// Assumed age of a load report on arrival, in housekeeping periods, as reports are made periodically and
 /// arrive late. A reported load is corrected by the change of the own connections since then.
@@ -97,7 +98,8 @@
 /// Mean retry-after delay of a rejected client, randomized by half of it either way so that clients rejected
 /// together do not return together. Servers that are full, overloaded or ejected need about this long.
 const RETRY_AFTER_MS: Millis = 1_000.0;
-/// Number of servers that must answer a request with an error before the request itself counts as the cause.
+/// Number of servers that must have failed a request, by errors or resets, for an error to end its retries:
+/// the request itself is then the likely cause.
 const MAX_ERROR_COUNT: usize = 3;
 /// Minimum time left for an attempt: with less it can no longer succeed.
 const MIN_TIME_LEFT_MS: Millis = 5.0;
@@ -164,7 +166,7 @@
     errored: Vec<usize>,
     /// Slots of the candidates for the next attempt.
     candidates: Vec<usize>,
-    /// Number of further draws for the next attempt.
+    /// Number of repeated draws for the next attempt; above 0, the retry limiter is not consulted again.
     redraws: u8,
     /// Earliest time of the next attempt.
     retry_at: Millis,
@@ -174,7 +176,7 @@
     deadline: Millis,
     sent_at: Millis,
     attempts: u8,
-    /// Microseconds of work per second; 0 until reported.
+    /// Load of its connection, in microseconds of work per second; 0 until reported.
     load: f64,
     /// The first attempt that may have been executed.
     possible_execution: Option<PossibleExecution>,
@@ -195,10 +197,12 @@
     ejected: Vec<usize>,
     ready_count: usize,
     ready_weight: f64,
+    /// Number of own attempts and connections at the ready servers.
     ready_open: f64,
     /// Weight of the ready servers that carry the own load, scaled down for those in slow start.
     available_weight: f64,
     draw_count: usize,
+    /// Lowest weight of the ready servers.
     min_weight: f64,
     requests: FxHashMap<RequestId, RequestState>,
     queued: Vec<RequestId>,
@@ -208,6 +212,7 @@
     probe_pool: marllink_server_state::ProbePool<ServerId, ReportedLoad>,
     unresponsive_detector: UnresponsiveDetector<ServerId>,
     retry_limiter: Limiter,
+    /// Rate of attempts sent per unit of available weight, over a short time.
     burst_rate: Rate,
     tenant_shares: TenantShares,
     /// Number of connections seen by group.
@@ -384,7 +389,7 @@
     /// Returns the own connections per weight. A new or restarted server starts at the mean of the others
     /// and fades to its actual count: otherwise it would attract every new connection while its capacity
     /// is lowest.
-    fn connections_per_weight(&mut self, slot: usize) -> f64 {
+    fn own_connections_per_weight(&mut self, slot: usize) -> f64 {
         let s = &self.servers[slot];
         let (open, weight) = (f64::from(s.open), s.weight);
         let warmup = self.warmup(slot);
@@ -402,7 +407,7 @@
         if self.variant.injected_bug == Some(InjectedBug::CreditByWeight) {
             return ZONE_CREDIT_CONNECTIONS * 100.0 * price / s.weight;
         }
-        // Divided by the mean weight: the credit must not count for more on a server of lower weight.
+        // Divided by the mean weight of all servers, so that it does not count for more on a lighter one.
         ZONE_CREDIT_CONNECTIONS * 100.0 * price * self.ready_count as f64 / self.ready_weight
     }
 
@@ -424,7 +429,7 @@
                 let Some(slot) = preferred.get(nth).copied().or_else(|| self.draw()) else {
                     return Vec::new();
                 };
-                // Randomized checks run only once per server and pick.
+                // `is_full` is randomized, so it runs only once per server and pick.
                 if seen.contains(&slot) || (round + 1 < MAX_DRAW_ROUNDS && request.last_tried.contains(&slot))
                 {
                     continue;
@@ -438,7 +443,7 @@
                     }) + if prefers_zone { self.zone_credit(slot) } else { 0.0 };
                     let unresponsive = self.probe_pool.is_unresponsive(self.now, self.servers[slot].id);
                     drawn.push((
-                        self.connections_per_weight(slot)
+                        self.own_connections_per_weight(slot)
                             + if unresponsive { UNRESPONSIVE_PENALTY_CONNECTIONS } else { -credit },
                         slot,
                     ));
@@ -463,7 +468,8 @@
         Vec::new()
     }
 
-    /// Returns some of the drawn servers with the lowest count, chosen at random in proportion to weight.
+    /// Returns up to `MAX_CANDIDATE_COUNT` of the drawn servers with the lowest count, chosen at random in
+    /// proportion to weight.
     fn least_loaded(&mut self, drawn: &[(f64, usize)], group: u64) -> Vec<usize> {
         let least = drawn.iter().map(|d| d.0).fold(f64::INFINITY, f64::min);
         let drawn: Vec<_> = drawn.iter().filter(|d| d.0 == least).collect();
@@ -585,8 +591,9 @@
         self.eject(slot, duration_ms.min(MAX_EJECTION_MS) * jitter, max_ejected);
     }
 
-    /// Moves all connections off a server that is unresponsive: its clients reach another server sooner than
-    /// it recovers. Its neighbours become suspect, as servers of a zone are often lost together.
+    /// Records a symptom of an unresponsive server and probes a suspected one. Once confirmed, moves all its
+    /// connections, as their clients reach another server sooner than it recovers. Its neighbours become
+    /// suspect, as servers of a zone are often lost together.
     fn on_unresponsive(&mut self, id: ServerId, symptom: Symptom, actions: &mut Vec<Action>) {
         let Some(&slot) = self.slot_by_id.get(&id) else { return };
         match self.unresponsive_detector.record(self.now, id, symptom) {
@@ -673,11 +680,11 @@
     /// Handles the result of a load probe.
     fn on_probe_result(&mut self, id: ServerId, ok: bool, report: &[f32], actions: &mut Vec<Action>) {
         let Some(&slot) = self.slot_by_id.get(&id) else { return };
-        let index = self.settings.report_fields.iter().position(|f| *f == ReportField::Utilization);
-        let load = index.filter(|_| ok).and_then(|index| report.get(index)).map(|x| f64::from(*x));
+        let load_index = self.settings.report_fields.iter().position(|f| *f == ReportField::Utilization);
+        let load = load_index.filter(|_| ok).and_then(|index| report.get(index)).map(|x| f64::from(*x));
         let server = &self.servers[slot];
-        let held = self.settings.report_fields.iter().position(|f| *f == ReportField::InFlight);
-        let held = held.and_then(|index| report.get(index)).map_or(0.0, |x| f64::from(*x));
+        let count_index = self.settings.report_fields.iter().position(|f| *f == ReportField::InFlight);
+        let connection_count = count_index.and_then(|index| report.get(index)).map_or(0.0, |x| f64::from(*x));
         let (own, own_load) = server.own_history[REPORT_AGE_PERIODS - 1];
         let reported = load.map(|load| ReportedLoad { load, own_load });
         ok.then(|| self.unresponsive_detector.clear(id));
@@ -685,7 +692,7 @@
             self.fleet.capacity.record(&ServerReport {
                 weight: server.weight,
                 utilization: load,
-                connections: held,
+                connections: connection_count,
                 own_connections: own,
                 own_load,
             });
@@ -850,7 +857,7 @@
         let max_load = rules.collapse_load_ratio * margin * self.capacity_ratio(slot) * s.weight;
         let rate = SlowStartRate {
             // This node's share of the rate at which all nodes together fill the server within its warm-up
-            // time, as far as reports show that: the own set-up rate does not include rejected clients.
+            // time. Estimated from load reports, as the own set-up rate does not include rejected clients.
             share_per_ms: max_load * self.fleet.capacity.connections_per_weight()
                 / rules.warm_up_ms.max(1.0)
                 / nodes,
@@ -868,7 +875,8 @@
         self.settings.classes.get(usize::from(class.0)).map_or(Idempotency::Safe, |c| c.idempotency)
     }
 
-    /// Returns the value of a request, by its class and whether its tenant is above its quota.
+    /// Returns the value of a request, by its class and whether its tenant is above its quota; never 0, as
+    /// loads are divided by it.
     fn value(&self, request: &RequestState) -> f64 {
         let above_quota = self.tenant_shares.exceeds_share(request.tenant.0, 0.0);
         let value = self.settings.classes.get(usize::from(request.class.0)).map_or(1.0, |c| c.value);
@@ -973,7 +981,7 @@
             return;
         }
         self.handle_probe_event(ProbeEvent::PickRequested { pick: id.0, servers }, actions);
-        // Also needed if other picks have sent the probes, which may stay without an answer.
+        // Also needed if the probes were sent for other picks or on suspicion: they may remain unanswered.
         if self.probe_pool.next_timeout().is_some() {
             actions.push(Action::SetTimer {
                 delay_ms: self.settings.probe_settings().pick_timeout_ms,
@@ -1117,8 +1125,9 @@
         self.attribute_errors(&errored, true);
     }
 
-    /// Attributes the errors of a request once their cause is known. A request that errs at every server is
-    /// itself the cause: its servers must not be ejected for it, and it counts as one failure.
+    /// Attributes the errors of a request once their cause is known. A request that fails on several servers
+    /// and succeeds on none is itself the likely cause: they must not be ejected for it, and it counts as one
+    /// failure.
     fn attribute_errors(&mut self, errored: &[usize], established: bool) {
         if established || errored.len() == 1 {
             self.retry_limiter.record_failures(self.now, errored.len() as f64);
@@ -1178,7 +1187,7 @@
             actions.push(Action::Fail(id));
             return;
         }
-        // Resets count less: the network may break several attempts in a row.
+        // A reset does not end the retries here: the network may break several attempts in a row.
         if outcome == Outcome::Error && request.errored.len() >= MAX_ERROR_COUNT {
             self.answer(id, &request, actions);
             return;
--- a/src/decide/handover.rs
+++ b/src/decide/handover.rs
@@ -10,8 +10,8 @@
     pub fn learned_state(&self) -> LearnedState {
         let servers =
             self.slot_by_id.iter().map(|(id, slot)| (*id, self.servers[*slot].history.clone())).collect();
-        let listed = |set: &FxHashSet<ServerId>| set.iter().copied().collect();
-        let (in_maintenance, returned) = (listed(&self.in_maintenance), listed(&self.returned));
+        let to_vec = |set: &FxHashSet<ServerId>| set.iter().copied().collect();
+        let (in_maintenance, returned) = (to_vec(&self.in_maintenance), to_vec(&self.returned));
         let fleet = FleetHistory { limiter_counts: self.retry_limiter.counts(), ..self.fleet.clone() };
         LearnedState {
             now: self.now,
@@ -25,18 +25,18 @@
 
     /// Takes over the state of a predecessor, whose clock has another origin.
     pub(super) fn take_over(&mut self, learned: LearnedState) {
-        let by = self.now - learned.now;
-        self.fleet = learned.fleet.shifted(by);
+        let offset_ms = self.now - learned.now;
+        self.fleet = learned.fleet.shifted(offset_ms);
         self.retry_limiter.restore(self.now, self.fleet.limiter_counts);
         learned
             .reported_loads
             .into_iter()
-            .for_each(|(id, at, load)| self.probe_pool.restore(at + by, id, load));
+            .for_each(|(id, at, load)| self.probe_pool.restore(at + offset_ms, id, load));
         self.in_maintenance.extend(learned.in_maintenance);
         self.returned.extend(learned.returned);
         for (id, history) in learned.servers {
             if let Some(&slot) = self.slot_by_id.get(&id) {
-                self.servers[slot].history = history.shifted(by);
+                self.servers[slot].history = history.shifted(offset_ms);
             }
         }
         self.rebuild_ready_set();
--- a/src/decide/membership.rs
+++ b/src/decide/membership.rs
@@ -49,13 +49,13 @@
         };
         // Each node starts at a random point of its slow-start budget, so that all nodes together start in
         // the middle of theirs instead of each sending a whole connection.
-        let budget = self.uniform();
+        let initial_tokens = self.uniform();
         let server = &mut self.servers[slot];
         if entry.started_at > server.history.started_at {
             // Failures of the previous process do not apply to the new one.
             server.history.consecutive_failures = 0;
             server.history.ejected_until = 0.0;
-            server.history.budget = SlowStartBudget::new(budget, self.now);
+            server.history.budget = SlowStartBudget::new(initial_tokens, self.now);
         }
         server.zone = entry.zone;
         server.cell = entry.cell;
@@ -97,8 +97,8 @@
         slot
     }
 
-    /// Takes a server into maintenance, in which it drains whatever the list says, or returns it to service.
-    /// It is assumed to restart in maintenance: it returns in slow start and without a failure history.
+    /// Puts a server into maintenance, in which it drains whatever the list says, or returns it to service.
+    /// It is assumed to restart in maintenance, so it returns in slow start and without a failure history.
     pub(super) fn on_maintenance(&mut self, id: ServerId, begins: bool, actions: &mut Vec<Action>) {
         if begins {
             self.in_maintenance.insert(id);
@@ -134,8 +134,8 @@
         let (mut weight_sum, mut weight_count) = (0.0, 0.0);
         self.ready_count = 0;
         for s in &mut self.servers {
-            let kept_out = s.listed_state == ServerState::Ready && self.in_maintenance.contains(&s.id);
-            s.state = if kept_out { ServerState::Draining } else { s.listed_state };
+            let in_maintenance = s.listed_state == ServerState::Ready && self.in_maintenance.contains(&s.id);
+            s.state = if in_maintenance { ServerState::Draining } else { s.listed_state };
             let drains = s.state == ServerState::Draining;
             s.drain_by = if drains { s.drain_by.min(self.now + DRAIN_MS) } else { f64::INFINITY };
         }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -46,7 +46,7 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Latency goal for setting up a connection: a later one has less value.
+    /// Latency goal for setting up a connection: one that is set up later has less value.
     pub setup_goal_ms: Millis,
     /// Whether, and under which conditions, a request may be executed more than once.
     pub idempotency: Idempotency,
@@ -155,7 +155,7 @@
     }
 }
 
-/// Costs of the balancer's actions, in the unit of the share of value served.
+/// Costs of the balancer's actions, in the same unit as the share of value served.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Prices {
     /// Cost of a moved client, per request.
@@ -391,7 +391,7 @@
         /// The report, ordered as in [`Settings::report_fields`]; empty if there was none.
         report: Vec<f32>,
     },
-    /// A server seems to be unresponsive. Sent each time that a symptom is observed.
+    /// A server seems to be unresponsive. To be sent each time that a symptom is observed.
     Unresponsive {
         /// The server.
         server: ServerId,
@@ -403,7 +403,7 @@
     /// The node can't wait any longer, because it shuts down or the client's time runs out: the final
     /// answer is due at once and depends on what may have been executed. A pending attempt is cancelled.
     AnswerNow(RequestId),
-    /// Operators take a server into maintenance or return it to service.
+    /// Operators put a server into maintenance or return it to service.
     Maintenance {
         /// The server; it may be missing from the list.
         server: ServerId,
@@ -505,16 +505,16 @@
 }
 
 impl ServerHistory {
-    /// Returns the same state on a clock that is ahead by `by`.
+    /// Returns the same state for a clock that is `offset_ms` ahead.
     #[must_use]
-    pub fn shifted(self, by: Millis) -> Self {
+    pub fn shifted(self, offset_ms: Millis) -> Self {
         Self {
-            started_at: if self.started_at > 0.0 { self.started_at + by } else { 0.0 },
-            overload: self.overload.shifted(by),
-            next_rebalance_at: self.next_rebalance_at + by,
-            last_failure_at: self.last_failure_at + by,
-            ejected_until: self.ejected_until + by,
-            budget: self.budget.shifted(by),
+            started_at: if self.started_at > 0.0 { self.started_at + offset_ms } else { 0.0 },
+            overload: self.overload.shifted(offset_ms),
+            next_rebalance_at: self.next_rebalance_at + offset_ms,
+            last_failure_at: self.last_failure_at + offset_ms,
+            ejected_until: self.ejected_until + offset_ms,
+            budget: self.budget.shifted(offset_ms),
             ..self
         }
     }
@@ -549,12 +549,12 @@
 }
 
 impl FleetHistory {
-    /// Returns the same state on a clock that is ahead by `by`.
+    /// Returns the same state for a clock that is `offset_ms` ahead.
     #[must_use]
-    pub fn shifted(self, by: Millis) -> Self {
+    pub fn shifted(self, offset_ms: Millis) -> Self {
         Self {
-            setup_rate: self.setup_rate.shifted(by),
-            connection_limit: self.connection_limit.shifted(by),
+            setup_rate: self.setup_rate.shifted(offset_ms),
+            connection_limit: self.connection_limit.shifted(offset_ms),
             ..self
         }
     }
--- a/src/variant.rs
+++ b/src/variant.rs
@@ -30,7 +30,7 @@
 #[cfg_attr(feature = "schema", schemars(rename = "Plant"))]
 #[serde(rename_all = "kebab-case")]
 pub enum InjectedBug {
-    /// The zone credit counts for more on a server of lower weight, and ties are broken uniformly.
+    /// The zone credit counts for more on a server of lower weight.
     CreditByWeight,
     /// At least one connection is moved off a draining server in each housekeeping cycle.
     #[serde(rename = "leave-at-once")]
@@ -49,6 +49,7 @@
     /// The balancer does not know the quotas of tenants.
     #[serde(rename = "tenant-blind")]
     TenantQuotasUnknown,
-    /// All connections of a slow server above its limit are moved, even when the other servers are as slow.
+    /// All connections of a slow server above its limit are moved instead of a part of them, which moves most
+    /// clients when all servers are slow.
     MoveWhenAllSlow,
 }
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -62,7 +62,7 @@
         let mut settings = settings();
         settings.nodes = 3;
         settings.discovery = Discovery::Pull;
-        // The goals are long enough for some requests to be held.
+        // The goals are long enough for some requests to be queued.
         settings.classes = (idempotency_kinds().into_iter().zip([300.0, 500.0, 600.0, 700.0, 800.0]))
             .map(|(idempotency, setup_goal_ms)| Class {
                 setup_goal_ms,
@@ -385,7 +385,7 @@
                 balancer.handle(now, ended, &mut actions);
             }
         }
-        // The connections per millisecond and server: at most a full load for a server of this size.
+        // Connections per millisecond that each server gets on average: at most its capacity when warmed up.
         let fair_rate = f64::from(per_second) / 1_000.0 / servers as f64;
         for (i, from) in slow_start_sends.iter().enumerate() {
             let end = from + rules.collapse_after_ms;
--- a/tests/regressions.rs
+++ b/tests/regressions.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn late_server_is_relieved_at_once_in_proportion_to_its_delay() {
+fn late_server_loses_connections_at_once_in_proportion_to_its_delay() {
     let moved_at = |delay_ms| {
         let mut node = Node::new(settings(), entries(2));
         let opened: Vec<_> = (0..80).map(|_| node.open_connection()).collect();
@@ -34,7 +34,8 @@
     };
     assert_eq!(moved_at(40.0), 0);
     let (slightly_late, very_late) = (moved_at(60.0), moved_at(1_200.0));
-    // The server holds about 40. The heaviest are moved; the rest above its limit end by themselves.
+    // The server holds about 40. Those with the most load are moved; the others above its limit end by
+    // themselves.
     assert!((1..=3).contains(&slightly_late), "{slightly_late}");
     assert!((6..=10).contains(&very_late), "{very_late}");
 }
@@ -269,7 +270,7 @@
     balancer.handle(0.0, list(), &mut actions);
     balancer.handle(0.0, list(), &mut actions);
     let timers = actions.iter().filter(|a| matches!(a, Action::SetTimer { .. })).count();
-    assert_eq!(timers, 1, "any first list starts periodic work exactly once");
+    assert_eq!(timers, 1, "any first list starts housekeeping exactly once");
     actions.clear();
     balancer.handle(300.0, Event::Timer(TimerToken(0)), &mut actions);
     balancer.handle(301.0, Event::Timer(TimerToken(0)), &mut actions);
@@ -277,17 +278,17 @@
 }
 
 #[test]
-fn held_request_is_sent_when_a_server_is_listed_and_rejected_if_none_is() {
+fn queued_request_is_sent_when_a_server_is_listed_and_rejected_if_none_is() {
     let mut settings = settings();
     settings.classes[0].setup_goal_ms = 1_000.0;
     let mut node = Node::new(settings, Vec::new());
     let (first, actions) = node.request(3_000.0);
-    assert!(actions.is_empty(), "held: {actions:?}");
+    assert!(actions.is_empty(), "not queued: {actions:?}");
     let actions = node.update_list(ListKind::Full, entries(1));
     assert!(matches!(actions[..], [Action::Send { request, .. }] if request == first), "{actions:?}");
     node.update_list(ListKind::Full, Vec::new());
     let (second, actions) = node.request(3_000.0);
-    assert!(actions.is_empty(), "held: {actions:?}");
+    assert!(actions.is_empty(), "not queued: {actions:?}");
     let mut answers = Vec::new();
     for _ in 0..5 {
         node.now += 200.0;
@@ -316,13 +317,13 @@
     assert_eq!(node.handle(Event::ProbeResult { server, ok: true, report }), []);
 }
 
-/// Runs the periodic work once, and returns the number of moved connections.
+/// Runs housekeeping once, and returns the number of moved connections.
 fn tick(node: &mut Node) -> usize {
     node.now += 200.0;
     move_count(&node.handle(Event::Timer(TimerToken(0))))
 }
 
-/// Runs the periodic work `ticks` times, and returns the servers probed.
+/// Runs housekeeping `ticks` times, and returns the servers probed.
 fn run_ticks(node: &mut Node, ticks: u32) -> Vec<ServerId> {
     let mut probed = Vec::new();
     for _ in 0..ticks {
@@ -334,9 +335,9 @@
 }
 
 #[test]
-fn server_that_reports_overload_is_relieved_and_gets_no_new_connections() {
+fn server_that_reports_overload_loses_connections_and_gets_no_new_ones() {
     // On real sockets an overloaded server still answers lines at once, so no message delay was reported, and
-    // servers at 1.07 and 1.68 of their capacity were never relieved.
+    // no connections were moved off servers at 1.07 and 1.68 of their capacity.
     let mut node = probing_node(4);
     (1..=4).for_each(|id| report_load(&mut node, ServerId(id), 0.3));
     let mut opened = Vec::new();
@@ -405,7 +406,8 @@
 
 #[test]
 fn nodes_with_one_connection_each_do_not_leave_a_draining_server_simultaneously() {
-    // A share of one connection, rounded up, is one connection: all nodes moved theirs in the same tick.
+    // A share of one connection, rounded up, is one connection: all nodes moved theirs in the same
+    // housekeeping cycle.
     let mut moved = [0; 24];
     for seed in 0..200 {
         let mut node = Node::with_seed(seed, settings(), entries(1));
@@ -422,7 +424,7 @@
 }
 
 #[test]
-fn overloaded_server_is_relieved_although_each_node_holds_one_connection() {
+fn overloaded_server_loses_connections_although_each_node_holds_only_one() {
     let mut moved = 0;
     for seed in 0..200 {
         let mut node = Node::with_seed(seed, probing_settings(), entries(1));
@@ -473,8 +475,8 @@
 
 #[test]
 fn request_that_fails_everywhere_does_not_eject_servers() {
-    // For example an invalid request, made up by a client of another node: ten of these ejected half of the
-    // servers, and the retry throttle rejected the clients of the others.
+    // For example an invalid request from a client of another node: ten of these ejected half of the servers,
+    // and the retry limiter rejected the clients of the others.
     let mut node = Node::new(settings(), entries(6));
     for _ in 0..4 {
         let (request, mut actions) = node.request(2_000.0);
