--- a/emulator/src/checker.rs
+++ b/emulator/src/checker.rs
@@ -85,23 +85,31 @@
     confirmed: Vec<(Millis, u64)>,
 }
 
-/// Checks the entries of a run. `faults_cut` returns whether a fault excuses that a request to this balancer, sent
-/// and ended at these times, got no answer.
+/// Checks the entries of a run. `excused_by_fault` takes the balancer of a request and the times at which the request
+/// was sent and ended, and returns true if a fault explains why it got no answer.
 #[must_use]
-pub fn check(entries: &[Entry], faults_cut: impl Fn(usize, Millis, Millis) -> bool) -> Verdict {
+pub fn check(entries: &[Entry], excused_by_fault: impl Fn(usize, Millis, Millis) -> bool) -> Verdict {
     let mut verdict = Verdict::default();
     let (mut tenures, mut copies, mut clients) = (HashMap::new(), HashMap::new(), HashMap::new());
     let mut requests: HashMap<(String, u64), (usize, Millis, usize)> = HashMap::new();
     for entry in entries {
-        read_entry(entry, &mut tenures, &mut copies, &mut clients, &mut requests, &mut verdict, &faults_cut);
+        read_entry(
+            entry,
+            &mut tenures,
+            &mut copies,
+            &mut clients,
+            &mut requests,
+            &mut verdict,
+            &excused_by_fault,
+        );
     }
     verdict.sessions = tenures.len();
     let mut names: Vec<_> = tenures.keys().cloned().collect();
     names.sort();
     for session in &names {
-        let all = &tenures[session];
-        verdict.resumed += all.len() - 1;
-        check_tenures(session, all, &mut verdict);
+        let session_tenures = &tenures[session];
+        verdict.resumed += session_tenures.len() - 1;
+        check_tenures(session, session_tenures, &mut verdict);
     }
     let mut names: Vec<_> = copies.keys().cloned().collect();
     names.sort();
@@ -123,7 +131,7 @@
     clients: &mut HashMap<String, Client>,
     requests: &mut HashMap<(String, u64), (usize, Millis, usize)>,
     verdict: &mut Verdict,
-    faults_cut: &impl Fn(usize, Millis, Millis) -> bool,
+    excused_by_fault: &impl Fn(usize, Millis, Millis) -> bool,
 ) {
     let (at, by) = (entry.at, &entry.by);
     match &entry.note {
@@ -132,9 +140,11 @@
             tenures.entry(session.clone()).or_default().push(tenure);
         }
         Note::LeaseReleased { session, ballot, late_ms } => {
-            let all = tenures.entry(session.clone()).or_default();
-            if let Some(tenure) =
-                all.iter_mut().rev().find(|tenure| tenure.server == *by && tenure.ballot == *ballot)
+            let session_tenures = tenures.entry(session.clone()).or_default();
+            if let Some(tenure) = session_tenures
+                .iter_mut()
+                .rev()
+                .find(|tenure| tenure.server == *by && tenure.ballot == *ballot)
             {
                 tenure.to = tenure.to.min(at - late_ms);
             }
@@ -168,7 +178,7 @@
                     "{by} got two answers on connection {connection}, the second is {word:?}"
                 ));
             }
-            if word.is_empty() && !faults_cut(*balancer, *sent_at, at) {
+            if word.is_empty() && !excused_by_fault(*balancer, *sent_at, at) {
                 verdict.unanswered += 1;
                 verdict.add_finding(format!(
                     "{by} sent a request to balancer {balancer} at {sent_at:.0} and got no answer by {at:.0}"
@@ -210,7 +220,7 @@
     }
 }
 
-/// Returns the name of the client that sent a value: values begin with its number.
+/// Returns the name of the client that sent a value, which begins with the client's number.
 fn client_of(value: &str) -> Option<String> {
     value.split_once('.').map(|(number, _)| format!("d{number}"))
 }
@@ -224,11 +234,11 @@
     let first_value = |copy: &SessionCopy| {
         copy.applied.iter().map(|(.., v)| v.clone()).chain(copy.fields.values().cloned()).next()
     };
-    let owner = copies.values().find_map(first_value).and_then(|value| client_of(&value));
+    let client_name = copies.values().find_map(first_value).and_then(|value| client_of(&value));
     let no_client = Client::default();
-    let client = owner.as_ref().and_then(|name| clients.get(name)).unwrap_or(&no_client);
+    let client = client_name.as_ref().and_then(|name| clients.get(name)).unwrap_or(&no_client);
     let last_confirmed = client.confirmed.last().map_or(0, |(_, n)| *n);
-    let latest = copies.keys().next_back().copied();
+    let latest_ballot = copies.keys().next_back().copied();
     for (ballot, copy) in copies {
         // Where the session is resumed, every save that was confirmed before must be present.
         let confirmed_before =
@@ -269,7 +279,7 @@
             let sent = client
                 .sent
                 .get(n)
-                .is_some_and(|all| all.iter().any(|save| save == &(name.clone(), value.clone())));
+                .is_some_and(|saves| saves.iter().any(|save| save == &(name.clone(), value.clone())));
             if *n != upto + 1 || !sent {
                 verdict.out_of_order += 1;
                 verdict.add_finding(format!(
@@ -279,7 +289,7 @@
             }
             upto = *n;
         }
-        if Some(*ballot) == latest && upto < last_confirmed {
+        if Some(*ballot) == latest_ballot && upto < last_confirmed {
             verdict.missing_saves += (last_confirmed - upto) as usize;
             verdict.add_finding(format!(
                 "session {session} has {upto} saves at the end at {}, but {last_confirmed} were confirmed",
--- a/emulator/src/model/fluid/server.rs
+++ b/emulator/src/model/fluid/server.rs
@@ -188,11 +188,12 @@
         let capacity = self.capacity(now);
         let free = (capacity - self.load).max(0.0);
         for connection in &self.connections {
-            let late = self.backlog_ms / capacity > self.message_goals_ms[connection.class];
+            let is_late = self.backlog_ms / capacity > self.message_goals_ms[connection.class];
             let utilization = self.load / capacity;
+            // The share of messages answered in time falls as the utilization approaches 1.
             let on_time = 1.0 - (-self.goal_to_usual_ratio[connection.class] * (1.0 - utilization)).exp();
-            let share = if late || utilization >= 1.0 { 0.0 } else { on_time };
-            self.on_time_seconds[connection.class] += share * elapsed / 1_000.0;
+            let on_time_share = if is_late || utilization >= 1.0 { 0.0 } else { on_time };
+            self.on_time_seconds[connection.class] += on_time_share * elapsed / 1_000.0;
         }
         self.backlog_ms += (self.load - capacity) * elapsed;
         if self.backlog_ms <= 0.0 || (free > 0.0 && self.backlog_ms < 1e-9) {
@@ -234,8 +235,8 @@
 
     /// Returns the load that the first connection of a group adds, or 0 if the group has a connection already.
     fn group_load(&self, group: u64) -> f64 {
-        let paid = group == 0 || self.connections.iter().any(|connection| connection.group == group);
-        if paid { 0.0 } else { self.config.group_load }
+        let already_paid = group == 0 || self.connections.iter().any(|connection| connection.group == group);
+        if already_paid { 0.0 } else { self.config.group_load }
     }
 
     /// Changes the load of a connection.
--- a/emulator/src/model/record.rs
+++ b/emulator/src/model/record.rs
@@ -59,9 +59,10 @@
     LeaseReleased {
         /// The session.
         session: String,
-        /// The ballot under which the server holds it.
+        /// The ballot under which the server held it.
         ballot: Ballot,
-        /// Time between the release by the server's own clock and this entry. A lease may expire while the server is stalled.
+        /// Time between the release by the server's own clock and this entry. A lease may expire while the server is
+        /// stalled.
         late_ms: Millis,
     },
     /// A client has requested a new session, or to resume its session.
--- a/emulator/src/model/session_client.rs
+++ b/emulator/src/model/session_client.rs
@@ -71,10 +71,10 @@
     next_save: u64,
     /// Saves without a confirmation, sent or not: number, field, value.
     unconfirmed: VecDeque<(u64, String, String)>,
-    /// Number of these that were sent on the current connection.
+    /// Number of saves in `unconfirmed` that were sent on the current connection.
     sent_count: usize,
     save_at: Millis,
-    /// Whether the client makes no new saves and only waits for the confirmation of those that it has.
+    /// Whether the client makes no new saves and only waits until its unconfirmed ones are confirmed.
     stopping: bool,
     /// Time of the earliest pending [`ClientAction::WakeAt`].
     wake_at: Option<Millis>,
--- a/emulator/src/platform/discovery.rs
+++ b/emulator/src/platform/discovery.rs
@@ -137,8 +137,8 @@
         format!(r#"{{"rev":{},"all":true,"targets":[{}]}}"#, self.rev.get(), targets.join(","))
     }
 
-    /// Records the states in a written list that differ from the previous list on this connection. A state that is
-    /// recorded again counts from its first record.
+    /// Records the states in a written list that differ from the previous list on this connection. A new connection
+    /// records the states again; the rules count a state from its first record.
     fn record_states(&self, listed: &mut [State]) {
         for (server, state) in self.states.borrow().iter().enumerate() {
             if listed[server] != *state {
--- a/emulator/src/platform/mixed.rs
+++ b/emulator/src/platform/mixed.rs
@@ -12,9 +12,9 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// Position of the balancer process in the id of a request: its bits from this one on.
+/// Lowest bit of the balancer's process number in the id of a request. The number takes all bits from there on.
 pub const PROCESS_SHIFT: u32 = 48;
-/// Position of the class in the id of a request: the four bits from this one on.
+/// Lowest bit of the class number in the id of a request. The number takes four bits.
 pub const CLASS_SHIFT: u32 = 44;
 /// Time that a client waits beyond the wait time in its request, so that a late answer is recorded.
 const EXTRA_WAIT_MS: Millis = 1_500.0;
@@ -104,8 +104,8 @@
         Self { log, endpoint, class, kind, id, rng }
     }
 
-    /// Connects, sends a request and stays as its kind does. Errors of the connection are ignored: what happened has
-    /// been recorded by then.
+    /// Connects, sends a request and stays as its kind does. Errors of the connection are ignored, because what
+    /// happened before them is recorded already.
     pub async fn run(mut self, stay_ms: Millis) {
         let Ok(stream) = TcpStream::connect(self.endpoint.address).await else { return };
         if stream.set_nodelay(true).is_err() {
@@ -115,7 +115,7 @@
         let mut stream = BufReader::new(stream);
         let ClientClass { name, wait_ms, .. } = &self.class;
         let line = format!("OPEN {:016x} {:016x} c={name},d={wait_ms:.0}\r\n", self.id, self.id >> 3);
-        // A client that fails to send its request has recorded none.
+        // A client that failed to send its request has recorded no request.
         let _ = match self.kind {
             ClientKind::StopsMidLine => self.stop_mid_line(&mut stream, &line).await,
             ClientKind::Leaves => self.leave_early(&mut stream, &line).await,
--- a/emulator/src/platform/reconnecting.rs
+++ b/emulator/src/platform/reconnecting.rs
@@ -21,7 +21,7 @@
 /// Mean delay before the next attempt when the balancer accepts no connection.
 const UNREACHABLE_DELAY_MS: Millis = 50.0;
 
-/// Position of the balancer in the id of a request: its highest byte.
+/// Lowest bit of the balancer's index in the id of a request. The index takes the highest byte.
 pub const BALANCER_SHIFT: u32 = 56;
 
 /// State that all clients of a run share.
--- a/emulator/src/platform/rules.rs
+++ b/emulator/src/platform/rules.rs
@@ -7,8 +7,8 @@
 
 /// Tolerance of all time limits.
 const TOLERANCE_MS: Millis = 50.0;
-/// Maximum time after its client left at which an attempt may start: 0.1 s, and 0.15 s for a balancer that was not
-/// scheduled.
+/// Maximum time between the departure of a client and the start of an attempt for it: 0.1 s, and 0.15 s for a
+/// balancer process that was not scheduled.
 const MAX_START_AFTER_LEAVE_MS: Millis = 250.0;
 /// Maximum time until a client that stopped in the middle of its request is released.
 const MAX_RELEASE_MS: Millis = 3_000.0;
@@ -65,7 +65,7 @@
     /// Whether an attempt may have run.
     may_have_run: bool,
     /// Whether the balancer was killed before the answer.
-    cut: bool,
+    balancer_killed: bool,
 }
 
 /// Checks a run. The wait times of clients and the grace period of a drain are time limits.
@@ -82,7 +82,7 @@
             Note::Answered { id, line } => requests.entry(*id).or_default().answers.push((*at, line.clone())),
             Note::Receipt { id, receipt } => requests.entry(*id).or_default().receipts.push(receipt.clone()),
             Note::Told { host, state: State::Serving } => _ = leaving.remove(host),
-            // A server that is listed as such again counts from the first time.
+            // A server that is listed as leaving again counts from the first time.
             Note::Told { host, .. } => _ = leaving.entry(*host).or_insert(*at),
             Note::Sent { id, host, since, wait_ms } => {
                 findings.attempts += 1;
@@ -114,10 +114,10 @@
                     None => findings
                         .violations
                         .push(format!("{id:x}: attempt without a client request, {at:.0} ms")),
-                    Some((_, wait)) if *wait_ms > wait => {
+                    Some((_, client_wait_ms)) if *wait_ms > client_wait_ms => {
                         findings
                             .violations
-                            .push(format!("{id:x}: attempt with a wait time of {wait_ms} ms where the client waits {wait} ms"));
+                            .push(format!("{id:x}: attempt with a wait time of {wait_ms} ms where the client waits {client_wait_ms} ms"));
                     }
                     Some(_) => {}
                 }
@@ -151,7 +151,7 @@
                 kills.push(*at);
                 for request in requests.values_mut() {
                     let was_sent = request.sent.is_some_and(|(sent_at, _)| sent_at <= *at);
-                    request.cut |= was_sent && request.answers.is_empty();
+                    request.balancer_killed |= was_sent && request.answers.is_empty();
                     request.active_server = None;
                 }
             }
@@ -165,17 +165,17 @@
         }
     }
     for (id, request) in &requests {
-        let Some((sent_at, wait)) = request.sent else { continue };
+        let Some((sent_at, wait_ms)) = request.sent else { continue };
         findings.requests += 1;
         let Some((at, line)) = request.answers.first() else {
-            if request.left_at.is_none() && !request.cut {
+            if request.left_at.is_none() && !request.balancer_killed {
                 findings.violations.push(format!("{id:x}: no answer"));
             }
             continue;
         };
         let since = request.connected_at.unwrap_or(sent_at);
         let killed = kills.iter().any(|kill| (since - KILL_MARGIN_MS..at + KILL_MARGIN_MS).contains(kill));
-        if line == "(end)" && (request.cut || killed) {
+        if line == "(end)" && (request.balancer_killed || killed) {
             continue;
         }
         if rules.is_non_idempotent(*id) && request.may_have_run && line.starts_with("BUSY") {
@@ -184,9 +184,9 @@
         if request.answers.len() > 1 {
             findings.violations.push(format!("{id:x}: {} answers", request.answers.len()));
         }
-        if at - sent_at > wait + TOLERANCE_MS {
+        if at - sent_at > wait_ms + TOLERANCE_MS {
             findings.late.push(format!(
-                "{id:x}: answered after {:.0} ms, but the client waits {wait:.0} ms",
+                "{id:x}: answered after {:.0} ms, but the client waits {wait_ms:.0} ms",
                 at - sent_at
             ));
         }
@@ -197,9 +197,9 @@
             }
             Some(("BUSY", ms)) => {
                 let ms = ms.parse::<f64>().unwrap_or(f64::INFINITY);
-                rules.max_retry_after_ms.is_none_or(|most| ms > most)
+                rules.max_retry_after_ms.is_none_or(|max_ms| ms > max_ms)
             }
-            // Without an answer the balancer has lost the request.
+            // The connection ended without an answer: the balancer has lost the request.
             _ => line == "(end)",
         };
         if invalid {
--- a/emulator/src/platform/servers.rs
+++ b/emulator/src/platform/servers.rs
@@ -43,7 +43,7 @@
     /// Load report in the answer to `STATS`; `None` where the deployment has no reports.
     report: Option<String>,
     /// Whether the server answers `PING` and `STATS`.
-    probes: bool,
+    answers_probes: bool,
     stopped: Notify,
     tasks: RefCell<Vec<JoinHandle<()>>>,
 }
@@ -56,7 +56,7 @@
     pub async fn start(
         log: Rc<NoteLog>,
         number: usize,
-        probes: bool,
+        answers_probes: bool,
         report: Option<String>,
     ) -> std::io::Result<Rc<Self>> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
@@ -66,7 +66,7 @@
             address: listener.local_addr()?,
             behavior: Cell::new(ServerBehavior::Serves),
             report,
-            probes,
+            answers_probes,
             stopped: Notify::new(),
             tasks: RefCell::default(),
         });
@@ -120,8 +120,8 @@
             }
             let report = self.report.as_deref().unwrap_or_default();
             let answer = match line.trim_end() {
-                "PING" if self.probes => "PONG\r\n".to_owned(),
-                "STATS" if self.probes => format!("{}\r\n", format!("PONG {report}").trim_end()),
+                "PING" if self.answers_probes => "PONG\r\n".to_owned(),
+                "STATS" if self.answers_probes => format!("{}\r\n", format!("PONG {report}").trim_end()),
                 _ => "NO\r\n".to_owned(),
             };
             stream.write_all(answer.as_bytes()).await?;
--- a/emulator/src/sockets/servers.rs
+++ b/emulator/src/sockets/servers.rs
@@ -3,7 +3,9 @@
 
 use super::{EntryLog, sleep};
 use crate::model::{HolderAction, InjectedBug, LeaseHolder, LeaseReplica, Millis};
-use marllink_lease_protocol::{self as keep, Ballot, Call, FrameReader, Reply, SessionId, call, reply};
+use marllink_lease_protocol::{
+    self as lease_protocol, Ballot, Call, FrameReader, Reply, SessionId, call, reply,
+};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
 use std::io::ErrorKind;
@@ -25,7 +27,7 @@
 pub struct ServerConfig {
     /// Maximum number of open connections of a server.
     pub capacity: usize,
-    /// Maximum deviation of the rate of a server clock, as a share.
+    /// Maximum relative deviation of the rate of a server's clock.
     pub clock_drift: f64,
     /// An injected bug, if any.
     pub injected_bug: Option<InjectedBug>,
@@ -86,8 +88,8 @@
 }
 
 impl Servers {
-    /// Starts `count` servers, each with an address for each of the balancers. `rate` returns the deviation of a
-    /// clock as a part of the maximum, between -1 and 1.
+    /// Starts `count` servers, each with an address for each of the balancers. `draw_drift` returns the drift of
+    /// a server's clock as a ratio to `clock_drift`, between -1 and 1.
     ///
     /// # Errors
     /// Fails if no address is free.
@@ -96,7 +98,7 @@
         count: usize,
         balancers: usize,
         config: ServerConfig,
-        mut rate: impl FnMut() -> f64,
+        mut draw_drift: impl FnMut() -> f64,
     ) -> std::io::Result<Rc<Self>> {
         let mut servers = Vec::new();
         for index in 0..count {
@@ -107,7 +109,7 @@
             let addresses = listeners.iter().map(TcpListener::local_addr).collect::<std::io::Result<_>>()?;
             let server = Rc::new(Server {
                 name: format!("h{index}"),
-                clock_rate: 1.0 + config.clock_drift * rate(),
+                clock_rate: 1.0 + config.clock_drift * draw_drift(),
                 replica: LeaseReplica::new(MAX_RECORDS, config.injected_bug).into(),
                 holder: LeaseHolder::new(config.injected_bug).into(),
                 incarnation: Cell::new(1),
@@ -230,14 +232,14 @@
         for action in actions {
             match action {
                 HolderAction::SendLine(connection, line) => {
-                    if let Some(out) = server.outbound.borrow().get(&connection) {
-                        out.push(format!("{line}\r\n").into_bytes());
+                    if let Some(outbound) = server.outbound.borrow().get(&connection) {
+                        outbound.push(format!("{line}\r\n").into_bytes());
                     }
                 }
                 HolderAction::Close(connection) => {
-                    if let Some(out) = server.outbound.borrow().get(&connection) {
-                        out.closing.set(true);
-                        out.added.notify_one();
+                    if let Some(outbound) = server.outbound.borrow().get(&connection) {
+                        outbound.closing.set(true);
+                        outbound.added.notify_one();
                     }
                 }
                 HolderAction::Record(note) => self.log.record(&server.name, note),
@@ -253,8 +255,8 @@
         stream: &TcpStream,
     ) -> std::io::Result<()> {
         let mut frames = FrameReader::default();
-        let out = Rc::new(Outbound::default());
-        server.outbound.borrow_mut().insert(connection, out.clone());
+        let outbound = Rc::new(Outbound::default());
+        server.outbound.borrow_mut().insert(connection, outbound.clone());
         let mut owner = None;
         let mut has_no_session = false;
         let reading = async {
@@ -262,25 +264,27 @@
                 self.wait_until_reachable(server, balancer).await;
                 if let Some(owner) = owner {
                     while let Ok(Some(call)) = frames.next_frame::<Call>() {
-                        self.handle_call(server, owner, &call, &out);
+                        self.handle_call(server, owner, &call, &outbound);
                     }
                 } else {
                     while let Some(line) = frames.next_line() {
                         let (word, rest) = line.trim_end().split_once(' ').unwrap_or((line.trim_end(), ""));
                         match word {
                             "KEEP" => {
-                                owner = keep::parse_hello(&line);
-                                out.push(keep::welcome_line(server.incarnation.get()).into_bytes());
+                                owner = lease_protocol::parse_hello(&line);
+                                outbound.push(
+                                    lease_protocol::welcome_line(server.incarnation.get()).into_bytes(),
+                                );
                                 break;
                             }
-                            "PING" => out.push(b"PONG\r\n".to_vec()),
+                            "PING" => outbound.push(b"PONG\r\n".to_vec()),
                             "STATS" => {
                                 let (open, capacity) = (server.open_count.get(), self.config.capacity as f64);
                                 let load = open as f64 / capacity;
-                                out.push(format!("PONG x0={load:.3},inflight={open}\r\n").into_bytes());
+                                outbound.push(format!("PONG x0={load:.3},inflight={open}\r\n").into_bytes());
                             }
-                            "OPEN" => has_no_session = self.open(server, connection, rest, &out),
-                            _ if has_no_session => out.push(line.clone().into_bytes()),
+                            "OPEN" => has_no_session = self.open(server, connection, rest, &outbound),
+                            _ if has_no_session => outbound.push(line.clone().into_bytes()),
                             _ => {
                                 let mut actions = Vec::new();
                                 let text = line.trim_end_matches(['\r', '\n']);
@@ -292,7 +296,7 @@
                                 );
                                 if !handled {
                                     // Other lines of a client are echoed.
-                                    out.push(line.clone().into_bytes());
+                                    outbound.push(line.clone().into_bytes());
                                 }
                                 self.apply(server, actions);
                             }
@@ -314,7 +318,7 @@
         };
         let writing = async {
             loop {
-                let next = out.queue.borrow_mut().pop_front();
+                let next = outbound.queue.borrow_mut().pop_front();
                 match next {
                     Some(bytes) => {
                         self.wait_until_reachable(server, balancer).await;
@@ -328,8 +332,8 @@
                             }
                         }
                     }
-                    None if out.closing.get() => return Ok(()),
-                    None => out.added.notified().await,
+                    None if outbound.closing.get() => return Ok(()),
+                    None => outbound.added.notified().await,
                 }
             }
         };
@@ -340,20 +344,20 @@
     }
 
     /// Handles the first line of a connection. Returns true if the connection has no session.
-    fn open(&self, server: &Server, connection: u64, rest: &str, out: &Outbound) -> bool {
+    fn open(&self, server: &Server, connection: u64, rest: &str, outbound: &Outbound) -> bool {
         if server.open_count.get() > self.config.capacity {
-            out.push(format!("BUSY inflight={}\r\n", server.open_count.get()).into_bytes());
-            out.closing.set(true);
+            outbound.push(format!("BUSY inflight={}\r\n", server.open_count.get()).into_bytes());
+            outbound.closing.set(true);
             return false;
         }
         let fields = rest.rsplit(' ').next().unwrap_or_default();
         let Some(session_key) = fields.split(',').find_map(|pair| pair.strip_prefix("s=")) else {
-            out.push(format!("UP {connection:x}\r\n").into_bytes());
+            outbound.push(format!("UP {connection:x}\r\n").into_bytes());
             return true;
         };
         let Some((session, ballot)) = parse_session_key(session_key) else {
-            out.push(b"SYNTAX\r\n".to_vec());
-            out.closing.set(true);
+            outbound.push(b"SYNTAX\r\n".to_vec());
+            outbound.closing.set(true);
             return false;
         };
         let mut actions = Vec::new();
@@ -362,7 +366,7 @@
         false
     }
 
-    fn handle_call(&self, server: &Server, owner: u64, call: &Call, out: &Outbound) {
+    fn handle_call(&self, server: &Server, owner: u64, call: &Call, outbound: &Outbound) {
         let now = self.local_time(server);
         let reply = if let Some(call::Body::LetGo(request)) = &call.body {
             let mut actions = Vec::new();
@@ -374,8 +378,8 @@
         };
         if let Some(reply) = reply {
             let mut frame = Vec::new();
-            keep::write_frame(&reply, &mut frame);
-            out.push(frame);
+            lease_protocol::write_frame(&reply, &mut frame);
+            outbound.push(frame);
         }
     }
 
--- a/fleet/src/baseline.rs
+++ b/fleet/src/baseline.rs
@@ -34,7 +34,8 @@
 }
 
 impl GroundTruth {
-    /// Adds a snapshot, and removes those that are too old to be the latest one of `delay_ms` ago.
+    /// Adds a snapshot, and removes old ones, so that the first is the latest one that is at least `delay_ms`
+    /// old.
     pub fn record(&mut self, now: Millis, delay_ms: Millis, servers: Vec<ServerSnapshot>) {
         self.snapshots.push_back((now, servers));
         while self.snapshots.get(1).is_some_and(|(at, _)| *at <= now - delay_ms) {
@@ -86,8 +87,8 @@
         let untried = |server: &ServerId| !tried.contains(server);
         if let Some(ground_truth) = self.ground_truth.clone() {
             let ground_truth = ground_truth.borrow();
-            // Draws in proportion to free capacity, from the own zone first. All balancers see the same
-            // delayed data, so always taking the best server would overload it.
+            // Draws in proportion to free capacity, first within the balancer's own zone. All balancers see the
+            // same delayed data, so if each took the best server, together they would overload it.
             let usable = |snapshot: &&ServerSnapshot| {
                 snapshot.healthy && untried(&snapshot.server) && self.ready.contains(&snapshot.server)
             };
--- a/fleet/src/faults.rs
+++ b/fleet/src/faults.rs
@@ -188,8 +188,8 @@
         self.publish_server(server, (UPDATE_DELAY_MS.0, UPDATE_DELAY_MS.0 * 2.0));
     }
 
-    /// Stops a server and cuts off its connections. If `unannounced` is greater than 0, discovery has to
-    /// detect the loss first, so it publishes it later.
+    /// Stops a server and cuts off its connections. If `unannounced` is greater than 0, discovery publishes
+    /// the loss later, because it has to detect it first.
     pub(crate) fn stop_server(&mut self, server: usize, unannounced: f64) {
         let now = self.now();
         for id in self.servers[server].stop(now) {
@@ -223,8 +223,8 @@
         self.start_server(server);
     }
 
-    /// Reports a message that has had no reply since `since` to the client's balancer, and schedules the next
-    /// report for as long as the message waits.
+    /// Reports to the client's balancer that a message sent at `since` has no reply yet, and schedules the
+    /// next report while the reply is missing.
     pub(crate) fn report_overdue_reply(&mut self, request: usize, server: usize, since: Millis) {
         let Some(balancer) =
             self.balancer_if_established(request, server).filter(|_| self.unresponsive[server])
@@ -264,8 +264,8 @@
         self.publish_server(server, UPDATE_DELAY_MS);
     }
 
-    /// Records that a connection reaches a server. A server in slow start collapses if too many do within the
-    /// time that the rules give.
+    /// Records that a connection reaches a server. A server in slow start collapses if it receives too many
+    /// connections within the rules' `collapse_after_ms`.
     pub(crate) fn record_slow_start_arrival(&mut self, server: usize) {
         let now = self.now();
         let rules = self.balancers[0].settings.rules.clone();
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -1,10 +1,10 @@
-//! Simulation of a whole fleet in virtual time: hundreds of real balancers' decisions with modelled clients,
-//! servers and discovery.
+//! Simulation of a whole fleet in virtual time: the real decisions of hundreds of balancers, with modelled
+//! clients, servers and discovery.
 //!
 //! A [`Matrix`] names scenarios, strategies and seeds. [`simulate`] runs one of each and returns the
 //! [`RunResults`]: the share of the wanted value that was served, and what explains the rest, such as load
 //! skew, attempts for each established connection, dropped connections, cross-zone requests, probes,
-//! overloaded servers in slow start, and moves. Runs are reproducible: the same seed gives identical results,
+//! servers that collapsed in slow start, and moves. Runs are reproducible: the same seed gives identical results,
 //! whatever else runs on the machine. Nothing in this crate reads a clock.
 //!
 //! Servers, clients and discovery are those of `marllink_emulator::model::fluid`. The balancers are
--- a/fleet/src/metrics.rs
+++ b/fleet/src/metrics.rs
@@ -106,12 +106,12 @@
         }
     }
 
-    /// Counts a connection that was established after `waited` milliseconds.
-    pub fn count_established(&mut self, now: Millis, server: usize, waited: Millis) {
+    /// Counts a connection that was established after `waited_ms`.
+    pub fn count_established(&mut self, now: Millis, server: usize, waited_ms: Millis) {
         self.second(now).established += 1.0;
         self.established += 1.0;
         self.established_by_server[server] += 1.0;
-        self.wait_times.saturating_record(waited.max(1.0) as u64);
+        self.wait_times.saturating_record(waited_ms.max(1.0) as u64);
     }
 
     /// Counts an attempt that was sent.
@@ -162,12 +162,13 @@
         wasted_work_price: f64,
         last_fault_s: Option<f64>,
     ) -> RunResults {
-        let sum = |of: fn(&SecondCounts) -> f64| self.seconds.iter().map(of).sum::<f64>();
-        let ratio = |part: f64, of: f64| if of > 0.0 { part / of } else { 0.0 };
+        let sum = |count: fn(&SecondCounts) -> f64| self.seconds.iter().map(count).sum::<f64>();
+        let ratio = |part: f64, whole: f64| if whole > 0.0 { part / whole } else { 0.0 };
         let (wanted, served) = (sum(|s| s.value_wanted), sum(|s| s.value_served));
-        let ratio_over = |from: &[SecondCounts], a: fn(&SecondCounts) -> f64, b: fn(&SecondCounts) -> f64| {
-            ratio(from.iter().map(a).sum(), from.iter().map(b).sum())
-        };
+        let ratio_over =
+            |window: &[SecondCounts], part: fn(&SecondCounts) -> f64, whole: fn(&SecondCounts) -> f64| {
+                ratio(window.iter().map(part).sum(), window.iter().map(whole).sum())
+            };
         let worst_served =
             self.seconds.windows(WORST_WINDOW_SECONDS).filter(|w| w.iter().all(|s| s.value_wanted > 0.0));
         let worst_served =
@@ -190,8 +191,8 @@
             .moves_by_interval
             .windows(MOVE_WINDOW_INTERVALS.min(self.moves_by_interval.len()))
             .map(|w| {
-                let (max, all) = (w.iter().max().copied().unwrap_or(0), w.iter().sum::<u32>());
-                ratio(f64::from(max), f64::from(all.max(30)))
+                let (max, total) = (w.iter().max().copied().unwrap_or(0), w.iter().sum::<u32>());
+                ratio(f64::from(max), f64::from(total.max(30)))
             });
         let service = |s: &SecondCounts| recovery::ServiceSecond {
             served_ratio: ratio(s.value_served, s.value_wanted),
@@ -249,9 +250,12 @@
             entry.0 += self.established_by_server[server];
             entry.1 += self.capacity_by_server[server];
         }
-        let (all, capacity) = by_size.values().fold((0.0, 0.0), |sum, v| (sum.0 + v.0, sum.1 + v.1));
-        let error = |(established, of): &(f64, f64)| (established / all / (of / capacity) - 1.0).abs();
-        if all < 1.0 { 0.0 } else { by_size.values().map(error).fold(0.0, f64::max) }
+        let (total_established, total_capacity) =
+            by_size.values().fold((0.0, 0.0), |sum, v| (sum.0 + v.0, sum.1 + v.1));
+        let error = |(established, capacity): &(f64, f64)| {
+            (established / total_established / (capacity / total_capacity) - 1.0).abs()
+        };
+        if total_established < 1.0 { 0.0 } else { by_size.values().map(error).fold(0.0, f64::max) }
     }
 }
 
--- a/fleet/src/scenario.rs
+++ b/fleet/src/scenario.rs
@@ -375,7 +375,7 @@
     WastedAttempts,
     /// Attempts for each request.
     Attempts,
-    /// Connections dropped by servers, for each new client.
+    /// Connections dropped by servers or lost with them, for each new client.
     Dropped,
     /// Attempts to servers of another zone, for each new client.
     #[serde(rename = "crossed")]
--- a/fleet/src/setup.rs
+++ b/fleet/src/setup.rs
@@ -23,9 +23,9 @@
 
 /// Returns shares by zone that sum to 1; equal shares if none are given.
 pub fn zone_shares(given: &[f64], zones: usize) -> Vec<f64> {
-    let of = |zone: usize| if given.is_empty() { 1.0 } else { given.get(zone).copied().unwrap_or(0.0) };
-    let sum: f64 = (0..zones).map(of).sum();
-    (0..zones).map(|zone| of(zone) / sum.max(f64::MIN_POSITIVE)).collect()
+    let share_of = |zone: usize| if given.is_empty() { 1.0 } else { given.get(zone).copied().unwrap_or(0.0) };
+    let sum: f64 = (0..zones).map(share_of).sum();
+    (0..zones).map(|zone| share_of(zone) / sum.max(f64::MIN_POSITIVE)).collect()
 }
 
 /// Draws an index with a probability in proportion to its share.
@@ -45,7 +45,7 @@
 /// core.
 pub fn classes(deployment: &Deployment, connections_per_core: f64) -> Vec<Class> {
     let mean: f64 = deployment.classes.iter().map(|c| c.share * c.load).sum();
-    let of = |class: &ConnectionClass, tenant| Class {
+    let class_of = |class: &ConnectionClass, tenant| Class {
         share: class.share * deployment.tenant_share(tenant),
         value: class.value,
         load: class.load / mean / connections_per_core,
@@ -54,10 +54,15 @@
         goal_to_usual_ratio: class.goal_to_usual_ratio,
     };
     let tenants = deployment.tenant_count();
-    deployment.classes.iter().flat_map(|class| (0..tenants).map(move |tenant| of(class, tenant))).collect()
+    deployment
+        .classes
+        .iter()
+        .flat_map(|class| (0..tenants).map(move |tenant| class_of(class, tenant)))
+        .collect()
 }
 
-/// Returns the groups' shares of the connections; empty if there are no groups.
+/// Returns the groups' relative shares of the connections, which need not sum to 1; empty if there are no
+/// groups.
 pub fn group_shares(deployment: &Deployment, connections: f64) -> Vec<f64> {
     let Some(groups) = deployment.groups else { return Vec::new() };
     let count = (connections / groups.mean_size).round().max(1.0) as usize;
@@ -73,11 +78,11 @@
     rng: &mut SmallRng,
 ) -> Vec<Server> {
     let by_zone = zone_shares(&scenario.server_shares, zones);
-    let sizes: Vec<f64> = deployment.server_sizes.iter().map(|size| size.share).collect();
+    let size_shares: Vec<f64> = deployment.server_sizes.iter().map(|size| size.share).collect();
     let speed_distribution = LogNormal::new(0.0, SPEED_SIGMA).expect("sigma is finite and positive");
     (0..shape.servers)
         .map(|index| {
-            let ServerSize { cores, speed, .. } = deployment.server_sizes[draw_index(&sizes, rng)];
+            let ServerSize { cores, speed, .. } = deployment.server_sizes[draw_index(&size_shares, rng)];
             // Each zone has at least one server, however small its share.
             let zone = if index < zones { index } else { draw_index(&by_zone, rng) };
             let config = ServerConfig {
@@ -106,8 +111,8 @@
     }
 }
 
-/// Creates discovery. A call transfers one line for each server, and each of its slots serves a few tens of
-/// calls a second with a list of 90 servers. The time grows with the list, up to four times that.
+/// Creates discovery. A call transfers one line for each server: with a list of 90 servers, each slot serves
+/// some tens of calls a second. The duration of a call grows with the list, up to four times as long.
 pub fn discovery(shape: &Shape, rng: &mut SmallRng) -> DiscoveryService {
     let transfer_ms = 20.0 * rng.random_range(0.5..1.5) * (shape.servers as f64 / 90.0).min(4.0);
     DiscoveryService::new(DiscoveryLimits { concurrency: 4, call_ms: transfer_ms, queue_timeout_ms: 2_000.0 })
--- a/fleet/src/simulation.rs
+++ b/fleet/src/simulation.rs
@@ -136,7 +136,7 @@
     FaultEnds(usize),
     KillBalancer {
         balancer: usize,
-        back_after: Millis,
+        restart_after_ms: Millis,
     },
     StartBalancer(usize),
     /// The front end begins or stops routing clients to a balancer.
@@ -204,7 +204,7 @@
     pub zones: usize,
     /// One class for each pair of class and tenant, with the tenants of a class next to each other.
     pub classes: Vec<Class>,
-    /// The groups' shares of the connections; empty if there are no groups.
+    /// The groups' relative shares of the connections; empty if there are no groups.
     group_shares: Vec<f64>,
     /// Factor on the rate of each tenant's new clients.
     pub tenant_traffic_factors: Vec<f64>,
@@ -335,9 +335,9 @@
         let sizes: Vec<_> = (0..self.servers.len())
             .map(|s| self.unaffected[s].then(|| (self.servers[s].config.weight * 1_000.0) as u64))
             .collect();
-        let set_up_work_ms =
+        let setup_work_total_ms =
             self.metrics.established * self.classes.iter().map(|c| c.share * c.setup_work_ms).sum::<f64>();
-        let wasted_work_price = 0.18 * self.wasted_work_ms / set_up_work_ms.max(1.0) * 0.02;
+        let wasted_work_price = 0.18 * self.wasted_work_ms / setup_work_total_ms.max(1.0) * 0.02;
         let prices = self.balancers[0].settings.prices.clone();
         let last_fault_s = self.scenario.faults.iter().map(|fault| fault.at_s).reduce(f64::max);
         self.metrics.results(&sizes, self.balancers.len(), &prices, wasted_work_price, last_fault_s)
@@ -575,7 +575,9 @@
             }
             Event::FaultBegins(index) => self.begin_fault(index),
             Event::FaultEnds(index) => self.end_fault(index),
-            Event::KillBalancer { balancer, back_after } => self.kill_balancer(balancer, back_after),
+            Event::KillBalancer { balancer, restart_after_ms } => {
+                self.kill_balancer(balancer, restart_after_ms)
+            }
             Event::StartBalancer(balancer) => self.start_balancer(balancer),
             Event::SetRotation { balancer, incarnation, in_rotation } => {
                 if self.balancers[balancer].incarnation == incarnation {
@@ -623,10 +625,16 @@
         self.sampled_at = now;
         let mut served_seconds = vec![0.0; self.classes.len()];
         for server in &mut self.servers {
-            served_seconds.iter_mut().zip(server.on_time_seconds(now)).for_each(|(sum, of)| *sum += of);
-        }
-        let served: Vec<f64> =
-            served_seconds.iter().zip(&self.served_seconds).map(|(now, before)| now - before).collect();
+            served_seconds
+                .iter_mut()
+                .zip(server.on_time_seconds(now))
+                .for_each(|(sum, seconds)| *sum += seconds);
+        }
+        let served: Vec<f64> = served_seconds
+            .iter()
+            .zip(&self.served_seconds)
+            .map(|(current, previous)| current - previous)
+            .collect();
         let wanted: Vec<f64> = self.wanted_connections.iter().map(|count| count * elapsed_s).collect();
         let (wanted, served) = (self.value_of(&wanted, elapsed_s), self.value_of(&served, elapsed_s));
         for (tenant, (wanted, served)) in wanted.within_quota.iter().zip(&served.within_quota).enumerate() {
@@ -864,7 +872,7 @@
         established
     }
 
-    /// Closes a client's connection from the client's side and has it reconnect.
+    /// Closes a connection from the client's side and schedules the client's next request.
     pub(crate) fn disconnect_client(&mut self, request: usize, reason: ReconnectReason) {
         let client = self.requests[request].client;
         self.end_attempt(request, Outcome::Ok, true);
--- a/fleet/src/simulation/lifecycle.rs
+++ b/fleet/src/simulation/lifecycle.rs
@@ -48,7 +48,8 @@
                 _ => Some(*self.balancers[balancer].drain_notified_at.entry(entry.server).or_insert(now)),
             };
         }
-        // The list that the agent has counts as notified, even if an injected bug never opens the watch.
+        // Servers in a list that the agent has pushed count as notified, even if an injected bug keeps the
+        // list from the balancer.
         if !(self.deployment.pushes_list && self.strategy.injects(InjectedBug::WatchNeverOpened)) {
             self.handle_event(balancer, BalancerEvent::ServerList { kind, entries });
         }
@@ -109,7 +110,7 @@
             .schedule_after(delay, Event::SetRotation { balancer: index, incarnation, in_rotation: true });
     }
 
-    pub(crate) fn kill_balancer(&mut self, balancer: usize, back_after: Millis) {
+    pub(crate) fn kill_balancer(&mut self, balancer: usize, restart_after_ms: Millis) {
         if self.balancers[balancer].policy.take().is_none() {
             return;
         }
@@ -129,7 +130,7 @@
             + (DEAD_BALANCER_DETECTION_MS.1 - DEAD_BALANCER_DETECTION_MS.0) * self.rng.random::<f64>();
         self.queue
             .schedule_after(detection, Event::SetRotation { balancer, incarnation, in_rotation: false });
-        self.queue.schedule_after(back_after, Event::StartBalancer(balancer));
+        self.queue.schedule_after(restart_after_ms, Event::StartBalancer(balancer));
     }
 
     /// Delivers SIGTERM to a balancer.
@@ -141,10 +142,10 @@
         let incarnation = self.balancers[balancer].incarnation;
         self.queue.schedule_after(300.0, Event::SetRotation { balancer, incarnation, in_rotation: false });
         self.queue.schedule_after(SHUTDOWN_WAIT_MS, Event::MoveBeforeExit { balancer, incarnation });
-        let back_after = 300.0;
+        let restart_after_ms = 300.0;
         self.queue.schedule_after(
             SHUTDOWN_WAIT_MS + SHUTDOWN_MOVE_MS + 50.0,
-            Event::KillBalancer { balancer, back_after },
+            Event::KillBalancer { balancer, restart_after_ms },
         );
     }
 
@@ -156,8 +157,8 @@
         let remaining: Vec<_> =
             self.balancers[balancer].requests.iter().filter(established).copied().collect();
         let steps = SHUTDOWN_MOVE_MS / 50.0;
-        // Spreads the moves over the time that is available: in each step a client moves with probability 1 /
-        // steps.
+        // Spreads the moves over the available time: each client moves with a probability of 1 / `steps` in
+        // each step.
         for request in remaining {
             if self.rng.random::<f64>() < 1.0 / steps {
                 self.move_client(request);
--- a/fleet/src/simulation/network.rs
+++ b/fleet/src/simulation/network.rs
@@ -6,12 +6,12 @@
     /// Returns the one-way latency between a balancer and a server, in milliseconds; `None` if they can't
     /// reach each other.
     pub(crate) fn one_way_latency(&self, balancer: usize, server: usize) -> Option<Millis> {
-        let (a, b) =
+        let (balancer_zone, server_zone) =
             (usize::from(self.balancers[balancer].settings.zone.0), self.servers[server].config.zone);
-        match a == b {
+        match balancer_zone == server_zone {
             _ if self.unresponsive[server] => None,
             true => Some(SAME_ZONE_LATENCY_MS),
-            false if self.partitioned_zones[a] || self.partitioned_zones[b] => None,
+            false if self.partitioned_zones[balancer_zone] || self.partitioned_zones[server_zone] => None,
             false => Some(CROSS_ZONE_LATENCY_MS),
         }
     }
--- a/fleet/tests/fault_scenarios.rs
+++ b/fleet/tests/fault_scenarios.rs
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn the_loss_of_one_of_five_zones_is_survived_and_its_slow_start_respected() {
+fn the_loss_of_one_of_five_zones_costs_little_service_and_few_slow_start_collapses() {
     let lost = FaultKind::LoseZone { zone: 1, for_s: 5.0 };
     let runs = run_marllink(&Scenario { zones: Some(5), ..scenario(0.35, vec![(5.0, lost)]) });
     assert!(mean(&runs, Metric::ServedRatio) > 0.85, "{}", mean(&runs, Metric::ServedRatio));
@@ -154,7 +154,7 @@
 #[test]
 fn each_injected_bug_worsens_its_metric() {
     let with_bug = |bug| Strategy::Modified {
-        name: "planted".into(),
+        name: "with-bug".into(),
         variant: Variant { injected_bug: Some(bug), ..Variant::default() },
     };
     let assert_worse = |scenario: &Scenario, bug, metric, ratio: f64| {
@@ -185,7 +185,7 @@
 fn an_unresponsive_zone_is_avoided_before_its_machines_are_back() {
     let unresponsive = scenario(0.35, vec![(5.0, FaultKind::UnresponsiveZone { zone: 1, for_s: 5.0 })]);
     let not_reported = Strategy::Modified {
-        name: "planted".into(),
+        name: "with-bug".into(),
         variant: Variant { injected_bug: Some(InjectedBug::UnresponsiveNotReported), ..Variant::default() },
     };
     let (correct, buggy) = (run_marllink(&unresponsive), run(&shape(), &unresponsive, &not_reported));
--- a/lease-protocol/src/messages.rs
+++ b/lease-protocol/src/messages.rs
@@ -331,7 +331,7 @@
 pub enum Why {
     /// The replica has no record of the session.
     Unknown = 0,
-    /// Another ballot was promised, which the reply includes.
+    /// An equal or higher ballot was promised to another process; the reply includes it.
     Outbid = 1,
     /// The session is covered by the lease of another process.
     Leased = 2,
--- a/node/src/exchange/session_driver.rs
+++ b/node/src/exchange/session_driver.rs
@@ -126,7 +126,7 @@
 
     /// Returns true if the request's session cannot be handed over at the moment.
     pub fn is_busy(&self, request: RequestId) -> bool {
-        self.sessions.borrow().is_busy(request)
+        self.sessions.borrow().blocks_handover(request)
     }
 
     /// Releases a session for the handover to the successor process.
--- a/sessions/src/claim.rs
+++ b/sessions/src/claim.rs
@@ -29,18 +29,19 @@
 #[derive(Debug)]
 pub struct Claim {
     pub request: RequestId,
+    /// Epoch of the token that the client presented.
     pub token_epoch: u64,
     pub ballot: Ballot,
     pub replicas: Configuration,
-    /// One per replica, in the same order.
+    /// Answers of the replicas, in the order of `replicas.members`.
     pub answers: Vec<ReplicaAnswer>,
     /// Time at which the claim fails.
     pub deadline: Millis,
     /// Time at which the replicas that have not promised are queried again.
     pub retry_at: Millis,
-    /// All holders up to this ballot have released the session.
+    /// Highest ballot up to which all holders have released the session.
     pub released_ballot: Option<Ballot>,
-    /// The holder whose release was requested.
+    /// The holder that was requested to release the session.
     pub release_requested: Option<Holder>,
     /// A pointer that is being completed, and the servers that have stored it.
     pub pending_pointer: Option<(Pointer, Vec<u64>)>,
@@ -135,8 +136,8 @@
                 _ => None,
             })
             .collect();
-        // A holder below the highest promised ballot has released the session already, or is not to be asked
-        // by this claim.
+        // No release is requested from a holder below the highest promised ballot: a later claim has
+        // superseded it, and the session has been released already or is that claim's to release.
         let highest_promised = leased.iter().map(|(_, _, promised)| *promised).max();
         let holder = leased.iter().filter_map(|(_, holder, _)| *holder).max_by_key(|h| h.ballot);
         match holder.filter(|h| Some(h.ballot) == highest_promised) {
@@ -189,8 +190,8 @@
         Ballot { epoch, attempt }
     }
 
-    fn replicas(number: u32, of: &[u64]) -> Configuration {
-        let members = of.iter().map(|n| Member { server: *n, incarnation: 1 }).collect();
+    fn replicas(number: u32, servers: &[u64]) -> Configuration {
+        let members = servers.iter().map(|n| Member { server: *n, incarnation: 1 }).collect();
         Configuration { number, members }
     }
 
@@ -256,9 +257,9 @@
                 .next_step(),
             Step::RaiseBallot(8)
         );
-        let (a, b) = (leased(300.0, None, ballot(7, 0)), leased(200.0, None, ballot(7, 0)));
-        assert_eq!(claim([promise(), a.clone(), b.clone()]).next_step(), Step::RetryAfter(200.0));
-        assert_eq!(claim([a, b, ReplicaAnswer::NoRecord]).next_step(), Step::RetryAfter(300.0));
+        let (longer, shorter) = (leased(300.0, None, ballot(7, 0)), leased(200.0, None, ballot(7, 0)));
+        assert_eq!(claim([promise(), longer.clone(), shorter.clone()]).next_step(), Step::RetryAfter(200.0));
+        assert_eq!(claim([longer, shorter, ReplicaAnswer::NoRecord]).next_step(), Step::RetryAfter(300.0));
         // One replica is unreachable: the refusal of another must be acted on without waiting for it.
         let higher_epoch = ReplicaAnswer::HigherBallot(ballot(8, 0));
         assert_eq!(
@@ -311,8 +312,8 @@
             Step::FollowPointer(target())
         );
         // Pointers are followed one configuration at a time.
-        let both = [(ballot(5, 1), target()), (ballot(5, 1), replicas(3, &[4, 5, 6]))];
-        let both = || promised(ballot(5, 1), 1, &both);
+        let pointers = [(ballot(5, 1), target()), (ballot(5, 1), replicas(3, &[4, 5, 6]))];
+        let both = || promised(ballot(5, 1), 1, &pointers);
         assert_eq!(
             claim([both(), both(), ReplicaAnswer::Pending]).next_step(),
             Step::FollowPointer(target())
--- a/sessions/src/interface.rs
+++ b/sessions/src/interface.rs
@@ -282,7 +282,7 @@
         server: ServerId,
         /// Epoch of the claim.
         epoch: u64,
-        /// Number of the last save at that time.
+        /// Number of the last save in the journal at that time.
         upto: u64,
         /// True if the session was resumed, false if it is new.
         resumed: bool,
--- a/sessions/src/placement.rs
+++ b/sessions/src/placement.rs
@@ -22,8 +22,8 @@
     xxh3_64_with_seed(&bytes, server.0)
 }
 
-/// Selects `count` candidates: those in `preferred` come first and `avoided` last. No zone has more than its
-/// share if other zones have enough candidates.
+/// Selects `count` candidates: those in `preferred` come first and `avoided` last. Except for preferred
+/// servers, no zone has more than its share if other zones have enough candidates.
 pub fn choose(
     session: SessionId,
     candidates: &[Candidate],
--- a/sessions/src/session.rs
+++ b/sessions/src/session.rs
@@ -87,7 +87,7 @@
     /// Another connection that takes the session over once this one has ended: its request, the epoch of its
     /// token, and the time until which it waits.
     pub pending_takeover: Option<(RequestId, u64, Millis)>,
-    /// The process that handed the session over, until the replicas have learned of that; 0 for none.
+    /// Owner number of the process that handed the session over under the current ballot; 0 for none.
     pub previous_owner: u64,
 }
 
@@ -202,7 +202,7 @@
         session.next_replicas = Some(replicas(2, [1, 3, 4]));
         assert_eq!(session.durable_upto(), 4);
         session.replica_state(4).expect("the server is a replica").upto = 8;
-        assert_eq!(session.durable_upto(), 7, "the old ones hold it back");
+        assert_eq!(session.durable_upto(), 7, "the current configuration has no majority beyond 7");
         session.set_replicas(Configuration { number: 3, members: vec![member(1)] });
         session.replica_state(1).expect("the server is a replica").upto = 5;
         assert_eq!(session.durable_upto(), 5);
--- a/sessions/src/state_machine.rs
+++ b/sessions/src/state_machine.rs
@@ -18,7 +18,7 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::collections::VecDeque;
 
-/// The sessions of one balancer process, their owner.
+/// The sessions that one balancer process owns.
 ///
 /// Expected order of calls:
 ///
@@ -41,7 +41,7 @@
     keys: KeyRing,
     /// Number of this process as an owner, drawn at random.
     owner: u64,
-    /// Unix time when this clock is zero, in milliseconds.
+    /// Unix time at the zero of this process's clock, in milliseconds.
     unix_offset_ms: Millis,
     rng: Xoshiro256PlusPlus,
     now: Millis,
@@ -214,7 +214,7 @@
 
     /// Returns true if the request has a session that cannot be handed over at the moment.
     #[must_use]
-    pub fn is_busy(&self, request: RequestId) -> bool {
+    pub fn blocks_handover(&self, request: RequestId) -> bool {
         self.session_of(request).is_some_and(|s| !s.is_idle() || s.hold_until <= self.now)
     }
 
--- a/sessions/src/state_machine/claims.rs
+++ b/sessions/src/state_machine/claims.rs
@@ -13,7 +13,7 @@
 use rand_xoshiro::rand_core::Rng;
 
 /// Approximate retry delay for a client whose session is being claimed by another request, in milliseconds:
-/// by then the other claim has succeeded or timed out.
+/// by then the other claim has succeeded or timed out. Also used if there is no room for the session.
 const CONFLICT_RETRY_MS: Millis = 400.0;
 /// Minimum delay before a claim is repeated under a higher ballot, in milliseconds. The delay is random, up
 /// to twice this value, so that competing claims do not collide again.
@@ -157,7 +157,7 @@
             token_epoch: claim.token_epoch,
             proof: claim.released_ballot,
         };
-        // A holder whose release is requested and whose link has just come up.
+        // The link to the holder has just come up, and its release is still outstanding.
         let release_due = claim
             .release_requested
             .filter(|h| only == Some(h.server) && claim.released_ballot < Some(h.ballot));
@@ -373,8 +373,8 @@
         self.claiming.remove(&id);
         self.requests.remove(&request);
         if was_known {
-            // The replicas may have promised the claim and refuse the previous ballot since. Later replies
-            // will show that.
+            // Replicas that have promised the claim refuse the session's previous ballot from now on. Their
+            // later replies will show that.
             let session = self.sessions.get_mut(&id).expect("the session exists");
             session.state = State::Detached;
             session.request = None;
--- a/sessions/src/state_machine/lifecycle.rs
+++ b/sessions/src/state_machine/lifecycle.rs
@@ -13,11 +13,12 @@
 /// Minimum duration of a holder's first lease, as a fraction of a full lease. With a shorter one the holder
 /// would have to renew before it has accepted the session.
 const MIN_FIRST_LEASE_RATIO: f64 = 0.5;
-/// Time over which the issue of tokens is spread that are due at once, for example after a change of keys, in
-/// milliseconds.
+/// Tokens that are due at the same time, for example after a change of keys, are issued spread over this
+/// time, in milliseconds.
 const TOKEN_SPREAD_MS: Millis = 1_000.0;
-/// Approximate retry delay for a client whose session has no available replicas, in milliseconds.
-const NO_REPLICAS_RETRY_MS: Millis = 500.0;
+/// Approximate retry delay for a client whose session has no available replicas or cannot be taken over now,
+/// in milliseconds.
+const UNAVAILABLE_RETRY_MS: Millis = 500.0;
 
 impl Sessions {
     /// Returns the session whose current connection or claim belongs to this request.
@@ -42,7 +43,7 @@
             if members.is_empty() {
                 let session = self.sessions.get_mut(&id).expect("the session exists");
                 session.state = State::Closing;
-                return self.reply_busy(request, NO_REPLICAS_RETRY_MS, commands);
+                return self.reply_busy(request, UNAVAILABLE_RETRY_MS, commands);
             }
             for member in &members {
                 self.sessions_by_replica.entry(member.server).or_default().insert(id);
@@ -202,7 +203,7 @@
                     lines: format!("SAVED {}\r\n", field.n).into_bytes(),
                 });
             }
-            // The save is in progress and will be confirmed later.
+            // The save was received before and will be confirmed once it is applied.
             Err(SaveError::Duplicate) => {}
             Err(SaveError::Gap) => {
                 let next = session.journal.upto() + 1;
@@ -314,7 +315,7 @@
             self.remove(id);
             if let Some((request, ..)) = pending_takeover {
                 self.requests.remove(&request);
-                self.reply_busy(request, NO_REPLICAS_RETRY_MS, commands);
+                self.reply_busy(request, UNAVAILABLE_RETRY_MS, commands);
             }
         } else if let Some((request, epoch, deadline)) = pending_takeover {
             self.claim(id, request, epoch, None, deadline, commands);
@@ -417,7 +418,7 @@
                     session.pending_takeover.take_if(|(.., deadline)| *deadline <= now)
                 {
                     self.requests.remove(&request);
-                    self.reply_busy(request, NO_REPLICAS_RETRY_MS, commands);
+                    self.reply_busy(request, UNAVAILABLE_RETRY_MS, commands);
                 }
             }
             _ => self.timers.clear(TimerKey::Session(id)),
--- a/sessions/src/state_machine/replication.rs
+++ b/sessions/src/state_machine/replication.rs
@@ -13,7 +13,8 @@
 
 /// Number of renewals per lease duration, so that two consecutive renewals may be lost.
 const RENEWALS_PER_LEASE: f64 = 4.0;
-/// Maximum number of unanswered renewals that are remembered. An answer to an older one would be of no use.
+/// Maximum number of unanswered renewals that are remembered. The lease that an older one grants would have
+/// expired already.
 const MAX_PENDING_RENEWALS: usize = 8;
 /// Delay before the first attempt to re-establish a link, in milliseconds. It doubles with each failure.
 const RECONNECT_DELAY_MS: Millis = 100.0;
@@ -268,17 +269,18 @@
         let lease_duration_ms = self.settings.lease_ms * (1.0 - self.settings.clock_drift_ratio);
         let Some(server) = self.servers.get_mut(&number) else { return };
         let Some(index) = server.pending_renewals.iter().position(|(n, _)| *n == k) else { return };
-        let (_, sent) = server.pending_renewals.drain(..=index).next_back().expect("the renewal is pending");
-        if sent + lease_duration_ms <= now {
+        let (_, sent_at) =
+            server.pending_renewals.drain(..=index).next_back().expect("the renewal is pending");
+        if sent_at + lease_duration_ms <= now {
             return;
         }
-        // Before this renewal arrived, the previous lease may have expired at the replica.
+        // The previous lease may have expired at the replica before this renewal arrived there.
         let lapsed = server.lease_lapsed || server.lease_until <= now;
         if lapsed {
             server.lease_generation += 1;
         }
         server.lease_lapsed = false;
-        server.lease_until = server.lease_until.max(sent + lease_duration_ms);
+        server.lease_until = server.lease_until.max(sent_at + lease_duration_ms);
         let at = server.next_attempt_at.min(server.lease_until);
         self.timers.set(TimerKey::Link(number), at);
         if lapsed {
--- a/sessions/tests/simulated_network/mod.rs
+++ b/sessions/tests/simulated_network/mod.rs
@@ -372,9 +372,9 @@
                     self.send(node, Node::Balancer(balancer_index), 0, Delivery::LinkDown(server_index));
                 }
                 self.execute_holder_actions(server_index, actions);
-                let back = self.now + for_ms;
+                let restart_at = self.now + for_ms;
                 self.stalled_until.remove(&node);
-                self.schedule(back - self.now, node, Delivery::Tick);
+                self.schedule(restart_at - self.now, node, Delivery::Tick);
                 // The server list reflects the change one second later.
                 for balancer_index in 0..self.balancers.len() {
                     self.schedule(1_000.0, Node::Balancer(balancer_index), Delivery::Servers);
@@ -589,7 +589,7 @@
         );
     }
 
-    /// Handles the end of an attempt, whose server holds nothing any more.
+    /// Handles the end of an attempt. Its server no longer holds the session.
     fn on_server_closed(&mut self, balancer_index: usize, connection: u64) {
         let Some(request) = self.balancers[balancer_index].request_by_server.remove(&connection) else {
             return;
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -56,11 +56,16 @@
     name: String,
     goal_time_ms: f64,
     deadline_ms: f64,
+    /// `repeatable` if attempts may be repeated, `by_key` if servers deduplicate them; with any other value an attempt
+    /// that may have run is not repeated.
     semantics: String,
+    /// Where `by_key` deduplication applies: `all` or `zone`; with any other value, within a cell.
     #[serde(default)]
     dedup_scope: String,
+    /// Time within which servers deduplicate attempts.
     #[serde(default)]
     repeat_window_ms: f64,
+    /// Value of a request, relative to the other classes.
     importance: f64,
 }
 
@@ -76,12 +81,16 @@
 struct RawLimits {
     connect_timeout_ms: f64,
     max_attempts: u8,
+    /// True if attempts may be cancelled.
     #[serde(default)]
     may_cancel: bool,
+    /// True if servers may be probed for their load.
     #[serde(default)]
     may_probe: bool,
+    /// True if balancers may send each other messages.
     #[serde(default)]
     peers: bool,
+    /// True if rejected clients may receive a retry delay.
     #[serde(default)]
     retry_after: bool,
     #[serde(default)]
--- a/settings/src/parts.rs
+++ b/settings/src/parts.rs
@@ -157,16 +157,16 @@
 /// What happens after a failed attempt.
 fn retries(settings: &Settings) -> Vec<Feature> {
     let attempts = settings.limits.max_attempts;
-    let unsafe_classes = settings.classes.iter().filter(|c| c.idempotency == Idempotency::Unsafe).count();
-    let classes = settings.classes.len();
+    let unsafe_class_count = settings.classes.iter().filter(|c| c.idempotency == Idempotency::Unsafe).count();
+    let class_count = settings.classes.len();
     vec![
         feature(
             "repeated attempts",
-            attempts > 1 && unsafe_classes < classes,
+            attempts > 1 && unsafe_class_count < class_count,
             format!(
-                "at most {attempts} attempts for each request, one at a time; {} of {classes} classes allow \
+                "at most {attempts} attempts for each request, one at a time; {} of {class_count} classes allow \
                  retries",
-                classes - unsafe_classes
+                class_count - unsafe_class_count
             ),
             if attempts > 1 { "no class allows retries" } else { "only one attempt is allowed" },
         ),
