--- a/node/src/backend/load_line.rs
+++ b/node/src/backend/load_line.rs
@@ -1,4 +1,4 @@
-//! Tells the two meanings of a `LOAD X` line apart. Servers that report both the load of a connection and
+//! Distinguishes the two meanings of a `LOAD X` line. Servers that report both the load of a connection and
 //! the delay of its messages use the same line for both; the meaning has to be inferred from the value
 //! and from when the line arrives.
 //!
@@ -9,16 +9,19 @@
 
 use crate::io::clock::Millis;
 
-/// A larger value is never a delay: servers drop connections before delays grow that long.
+/// Maximum delay, in milliseconds. A larger value is a load: servers drop connections before delays grow that
+/// long.
 const MAX_DELAY_MS: f64 = 5_000.0;
-/// A first value that arrives within this time after the connection is established is its load.
+/// A first value that arrives within this time after the connection is established is its load. In
+/// milliseconds.
 const INITIAL_LOAD_WINDOW_MS: Millis = 200.0;
 /// Interval between two delay reports of a server, in milliseconds.
 const DELAY_REPORT_INTERVAL_MS: Millis = 1_000.0;
 /// Tolerated deviation from that interval, in milliseconds.
 const REPORT_JITTER_MS: Millis = 6.0;
-/// A load is not expected to fall below this share of its previous value at once.
-const MIN_LOAD_CHANGE_RATIO: f64 = 1.0 / 6.0;
+/// A load is not expected to fall below this share of its previous value in one step, so a smaller value may
+/// be a delay.
+const MIN_PLAUSIBLE_LOAD_RATIO: f64 = 1.0 / 6.0;
 /// A first value that arrives late is a load if it is at least this, in microseconds of work per second.
 const MIN_LATE_INITIAL_LOAD: f64 = 3_000.0;
 
@@ -44,9 +47,9 @@
     Load,
     /// The delay of a message, in milliseconds.
     Delay,
-    /// The first delay or a small load. The value is ignored until another one arrives when the next delay
-    /// report is due: reading small loads as delays made healthy servers look overloaded (the score on
-    /// real sockets fell from 0.84 to 0.40).
+    /// Either the first delay or a small load. The value is ignored, because a small load that is taken for a
+    /// delay makes a healthy server look overloaded. If another value arrives when the next delay report is
+    /// due, that one is a delay.
     Ambiguous,
 }
 
@@ -62,7 +65,7 @@
         return LineKind::Delay;
     }
     let small = if context.previous_load > 0.0 {
-        value < context.previous_load * MIN_LOAD_CHANGE_RATIO
+        value < context.previous_load * MIN_PLAUSIBLE_LOAD_RATIO
     } else {
         context.now - context.established_at > INITIAL_LOAD_WINDOW_MS && value < MIN_LATE_INITIAL_LOAD
     };
@@ -111,9 +114,15 @@
 
     #[test]
     fn the_first_value_of_a_connection_is_its_load_unless_it_is_late_and_small() {
-        let fresh = LineContext { previous_load: 0.0, established_at: 9_990.0, ..CONTEXT };
-        assert_eq!(classify(303.4, &fresh), LineKind::Load);
-        assert_eq!(classify(516.0, &LineContext { established_at: 9_000.0, ..fresh }), LineKind::Ambiguous);
-        assert_eq!(classify(6_980.0, &LineContext { established_at: 9_000.0, ..fresh }), LineKind::Load);
+        let new_connection = LineContext { previous_load: 0.0, established_at: 9_990.0, ..CONTEXT };
+        assert_eq!(classify(303.4, &new_connection), LineKind::Load);
+        assert_eq!(
+            classify(516.0, &LineContext { established_at: 9_000.0, ..new_connection }),
+            LineKind::Ambiguous
+        );
+        assert_eq!(
+            classify(6_980.0, &LineContext { established_at: 9_000.0, ..new_connection }),
+            LineKind::Load
+        );
     }
 }
--- a/node/src/backend/message_delay.rs
+++ b/node/src/backend/message_delay.rs
@@ -8,7 +8,8 @@
 const MAX_UNANSWERED_LINES: usize = 64;
 /// Maximum number of samples that are kept per server: about one second's worth.
 const MAX_SAMPLES: usize = 64;
-/// Age up to which a sample counts, in milliseconds; clients send a line every 2 s.
+/// Maximum age of a sample, in milliseconds. Clients send a line every 2 s, so an older sample no longer
+/// describes the current delay.
 const MAX_SAMPLE_AGE_MS: Millis = 1_000.0;
 
 /// The lines of one connection that the server has not answered yet.
@@ -58,11 +59,12 @@
 struct ServerDelays {
     /// When a round trip ended, how long it took, and on which request's connection.
     samples: VecDeque<(Millis, Millis, RequestId)>,
-    /// The shortest round trip seen: the network both ways, and a message at an idle server.
+    /// The shortest round trip seen: the time that the network and an idle server need. A delay is the time
+    /// beyond that.
     min_round_trip_ms: Option<Millis>,
     /// The last report to the balancer was above the threshold.
     above_threshold: bool,
-    /// When the server itself last reported a delay.
+    /// When the server itself last reported a delay, or a value that may be one.
     server_reported_at: Option<Millis>,
 }
 
@@ -75,7 +77,8 @@
 }
 
 impl MessageDelays {
-    /// Delays are reported while they are above a third of the strictest message goal.
+    /// Creates an empty record. Delays are reported while they are above a third of the strictest message
+    /// goal.
     pub fn new(strictest_goal_ms: Millis) -> Self {
         Self { report_threshold_ms: strictest_goal_ms / 3.0, servers: BTreeMap::new() }
     }
@@ -85,12 +88,12 @@
         self.report_threshold_ms
     }
 
-    /// Records that a server reported a delay itself.
+    /// Records that a server itself reported a delay, or a value that may be one.
     pub fn record_server_report(&mut self, server: ServerId, now: Millis) {
         self.servers.entry(server).or_default().server_reported_at = Some(now);
     }
 
-    /// Returns when the server last reported a delay itself.
+    /// Returns when the server itself last reported a delay, or a value that may be one.
     pub fn server_reported_at(&self, server: ServerId) -> Option<Millis> {
         self.servers.get(&server)?.server_reported_at
     }
--- a/node/src/backend/server.rs
+++ b/node/src/backend/server.rs
@@ -23,7 +23,7 @@
 const LINGER_MS: Millis = 30_000.0;
 /// Maximum time for the answer to a load probe, in milliseconds.
 const PROBE_TIMEOUT_MS: Millis = 1_000.0;
-/// Bytes of a server that nothing waits for are discarded in chunks of this size.
+/// Input that a server still sends while its connection is being closed is discarded in chunks of this size.
 const DISCARD_CHUNK_BYTES: usize = 16 * 1024;
 
 /// The parameters of a connection that is to be established.
@@ -40,7 +40,7 @@
 pub struct Backend {
     /// The clock for timeouts.
     pub clock: Clock,
-    /// The settings in force: the connect timeout, and whether servers answer probes with a load report.
+    /// The active settings: the connect timeout, and whether servers answer probes with a load report.
     pub settings: Rc<ActiveSettings>,
 }
 
@@ -89,16 +89,16 @@
                 Ok(stream) => break Ok(stream),
                 Err(end) => end,
             };
-            let wait_ms = backoff.next_wait();
+            let backoff_ms = backoff.next_wait();
             let may_repeat = restore_retry.is_some_and(|policy| policy.may_repeat(end.outcome));
-            if !may_repeat || self.clock.now() + wait_ms >= setup.deadline {
+            if !may_repeat || self.clock.now() + backoff_ms >= setup.deadline {
                 break Err(end);
             }
             handle.record_failed_try(end);
             tokio::select! {
                 biased;
                 outcome = handle.cancelled() => break Err(AttemptEnd::cancelled(outcome)),
-                () = self.clock.sleep(wait_ms) => {}
+                () = self.clock.sleep(backoff_ms) => {}
             }
         };
         match established {
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Connects, sends the first line and waits for the answer. The socket is closed if that fails.
+    /// Connects, sends the first line and waits for the answer. The socket is closed if one of these fails.
     async fn establish(
         &self,
         setup: &ConnectionSetup,
@@ -126,7 +126,7 @@
     ) -> Result<TcpStream, AttemptEnd> {
         let connecting = async {
             let left_ms = setup.deadline - self.clock.now();
-            let stream = self.connect(setup.address, left_ms, || handle.no_connection()).await;
+            let stream = self.connect(setup.address, left_ms, || handle.connect_timed_out()).await;
             // The client may have left at the same moment: pending events are handled before the first byte
             // is sent.
             tokio::task::yield_now().await;
@@ -148,11 +148,11 @@
             return Err(AttemptEnd::new(Outcome::NotSent, AttemptCause::ServerDraining));
         }
         let left_ms = setup.deadline - self.clock.now();
-        let head = setup.open_request.for_server(left_ms, setup.session_ballot.as_deref());
+        let first_line = setup.open_request.for_server(left_ms, setup.session_ballot.as_deref());
         let answered = tokio::select! {
             biased;
             outcome = handle.cancelled() => Err(AttemptEnd::cancelled(outcome)),
-            answered = self.send_open_request(&stream, &head, left_ms, pipe, handle) => answered,
+            answered = self.send_open_request(&stream, &first_line, left_ms, pipe, handle) => answered,
         };
         match answered {
             Ok(()) => Ok(stream),
@@ -173,7 +173,7 @@
     ) -> Result<TcpStream, ConnectError> {
         let timeout_ms = self.settings.current().balancing.limits.connect_timeout_ms;
         let connected = connect(&self.clock, address, timeout_ms.min(wait_ms)).await;
-        // A connect that had less time says nothing about the server.
+        // A timeout after less time says nothing about the server.
         if matches!(connected, Err(ConnectError::TimedOut)) && wait_ms >= timeout_ms {
             on_no_response();
         }
@@ -187,14 +187,14 @@
     async fn send_open_request(
         &self,
         stream: &TcpStream,
-        head: &[u8],
+        first_line: &[u8],
         wait_ms: Millis,
         pipe: &Pipe,
         handle: &AttemptHandle,
     ) -> Result<(), AttemptEnd> {
         let deadline = self.clock.now() + wait_ms;
-        // If the last byte of the line was not written, the server has not seen the request.
-        match self.clock.within(wait_ms, pump::write_all(stream, head)).await {
+        // The server has not received the request unless the last byte of the line was written.
+        match self.clock.within(wait_ms, pump::write_all(stream, first_line)).await {
             Some(Ok(())) => {}
             Some(Err(error)) => {
                 return Err(AttemptEnd::new(Outcome::ConnectFailed, AttemptCause::Write(error)));
@@ -315,7 +315,7 @@
     }
 
     /// Ends a connection whose server sent an overlong line, after which no further line can be read. The
-    /// client has received none of it, so that it can be asked to reconnect between two lines.
+    /// client has received no part of that line, so it can be asked to reconnect between two lines.
     fn line_too_long(pipe: &Pipe) -> AttemptEnd {
         pipe.server_to_client.end(End::ClosingMessage("MOVE\r\n".into()));
         AttemptEnd::new(Outcome::Reset, AttemptCause::LineTooLong)
@@ -324,10 +324,10 @@
     /// Sends a load probe to a server.
     async fn send_probe(&self, probe: Probe) {
         let Probe { address, mut result, descriptor } = probe;
-        let reports = !self.settings.current().names.report_fields.is_empty();
-        let query: &[u8] = if reports { b"STATS\r\n" } else { b"PING\r\n" };
+        let reports_load = !self.settings.current().names.report_fields.is_empty();
+        let query: &[u8] = if reports_load { b"STATS\r\n" } else { b"PING\r\n" };
         let query_load = async {
-            let stream = self.connect(address, PROBE_TIMEOUT_MS, || result.no_connection()).await.ok()?;
+            let stream = self.connect(address, PROBE_TIMEOUT_MS, || result.connect_timed_out()).await.ok()?;
             pump::write_all(&stream, query).await.ok()?;
             let line = read_first_line(&stream, &Ring::new()).await.ok()?;
             match line::parse_server_line(&line) {
--- a/node/src/core.rs
+++ b/node/src/core.rs
@@ -42,7 +42,7 @@
     /// An event is being handled; further events are only queued.
     busy: Cell<bool>,
     next_request: Cell<u64>,
-    requests: RefCell<Option<Weak<dyn RequestActions>>>,
+    request_actions: RefCell<Option<Weak<dyn RequestActions>>>,
     membership: RefCell<Option<Rc<dyn Membership>>>,
     /// Notified whenever a connection is established.
     established: Notify,
@@ -59,7 +59,7 @@
             queue: RefCell::default(),
             busy: Cell::new(false),
             next_request: Cell::new(1),
-            requests: RefCell::new(None),
+            request_actions: RefCell::new(None),
             membership: RefCell::new(None),
             established: Notify::new(),
             weak_self: weak_self.clone(),
@@ -67,8 +67,8 @@
     }
 
     /// Sets the components that execute the actions. Must be called before the first event.
-    pub fn connect(&self, requests: Weak<dyn RequestActions>, membership: Rc<dyn Membership>) {
-        *self.requests.borrow_mut() = Some(requests);
+    pub fn connect(&self, request_actions: Weak<dyn RequestActions>, membership: Rc<dyn Membership>) {
+        *self.request_actions.borrow_mut() = Some(request_actions);
         *self.membership.borrow_mut() = Some(membership);
     }
 
@@ -130,16 +130,16 @@
     }
 
     fn execute(&self, action: Action) {
-        let requests = self.requests.borrow().as_ref().and_then(Weak::upgrade);
+        let request_actions = self.request_actions.borrow().as_ref().and_then(Weak::upgrade);
         let membership = self.membership.borrow().clone();
-        let (Some(requests), Some(membership)) = (requests, membership) else { return };
+        let (Some(request_actions), Some(membership)) = (request_actions, membership) else { return };
         match action {
-            Action::Send { request, server, timeout_ms } => requests.send(request, server, timeout_ms),
-            Action::Cancel { request, attempt } => requests.cancel(request, attempt),
-            Action::Reject { request, retry_after_ms } => requests.reject(request, retry_after_ms),
-            Action::Fail(request) => requests.fail(request),
-            Action::Move(request) => requests.move_client(request),
-            Action::Probe(server) => requests.probe(server),
+            Action::Send { request, server, timeout_ms } => request_actions.send(request, server, timeout_ms),
+            Action::Cancel { request, attempt } => request_actions.cancel(request, attempt),
+            Action::Reject { request, retry_after_ms } => request_actions.reject(request, retry_after_ms),
+            Action::Fail(request) => request_actions.fail(request),
+            Action::Move(request) => request_actions.move_client(request),
+            Action::Probe(server) => request_actions.probe(server),
             Action::FetchList => membership.fetch(),
             Action::WatchList => membership.watch(),
             Action::SetTimer { delay_ms, token } => {
@@ -227,8 +227,8 @@
         let core = Core::new(Clock::manual(), settings, 1);
         let recorder = Rc::new(Recorder::default());
         *recorder.core.borrow_mut() = Rc::downgrade(&core);
-        let requests: Weak<dyn RequestActions> = Rc::downgrade(&recorder) as _;
-        core.connect(requests, recorder.clone());
+        let request_actions: Weak<dyn RequestActions> = Rc::downgrade(&recorder) as _;
+        core.connect(request_actions, recorder.clone());
         let entry = ServerEntry {
             server: ServerId(1),
             zone: ZoneId(0),
--- a/node/src/exchange/handles.rs
+++ b/node/src/exchange/handles.rs
@@ -201,7 +201,7 @@
     }
 
     /// Reports that a connect to the server timed out without a response.
-    pub fn no_connection(&self) {
+    pub fn connect_timed_out(&self) {
         self.exchange
             .core
             .feed(Event::Unresponsive { server: self.server, symptom: Symptom::ConnectTimeout });
@@ -257,7 +257,7 @@
 
 impl ProbeResult {
     /// Reports that a connect to the server timed out without a response.
-    pub fn no_connection(&self) {
+    pub fn connect_timed_out(&self) {
         if let Some(exchange) = self.exchange.upgrade() {
             exchange.core.feed(Event::Unresponsive { server: self.server, symptom: Symptom::ConnectTimeout });
         }
--- a/node/src/exchange/mod.rs
+++ b/node/src/exchange/mod.rs
@@ -1,7 +1,7 @@
 //! The exchange connects the client side with the server side.
 //!
-//! It owns each request from its first line to its end: the attempt that is active for it, whether it has
-//! had its one final answer, and the rings between its two sockets. The client side holds a
+//! The exchange owns each request from its first line to its end: the active attempt, whether the client has
+//! had its one final answer, and the rings between the two sockets. The client side holds a
 //! [`RequestHandle`] and the server side an [`AttemptHandle`]; dropping a handle reports that its side
 //! is done, no matter how its task ended.
 
@@ -41,16 +41,16 @@
 /// Time before a client's deadline at which its answer is sent, in milliseconds: the answer still has to
 /// reach the client.
 const ANSWER_MARGIN_MS: Millis = 10.0;
-/// Maximum time to restore a connection that was open before, in milliseconds. Its client announces a wait
-/// of over an hour; with that, a lost connection would be kept for as long.
+/// Maximum time to restore a connection that was open before, in milliseconds. Clients of such connections
+/// announce a wait of over an hour, and a lost connection would be kept for that long.
 const MAX_RESTORE_WAIT_MS: Millis = 40_000.0;
 /// A server that has owed an answer for this long without sending anything is unresponsive: its connections
 /// must end within 7 s of its last line, and clients send a line every 2 s.
 const UNRESPONSIVE_MS: Millis = 4_500.0;
-/// Interval between checks for unresponsive servers, in milliseconds.
+/// Interval between checks for unresponsive servers and unanswered lines, in milliseconds.
 const SWEEP_INTERVAL_MS: Millis = 100.0;
-/// A server that owes an answer for this multiple of the strictest message goal is reported to the balancer
-/// as possibly lost.
+/// A server that has owed an answer for more than this multiple of the strictest message goal is reported to
+/// the balancer as possibly lost.
 const UNANSWERED_GOAL_RATIO: f64 = 5.0;
 
 enum Phase {
@@ -124,7 +124,7 @@
 }
 
 /// The channels to the client side and to the server side.
-pub struct SideChannels {
+pub struct Channels {
     /// Commands for the server side.
     pub backend_commands: mpsc::UnboundedSender<BackendCommand>,
     /// Handed-off connections for the client side.
@@ -159,10 +159,10 @@
         directory: Rc<Directory>,
         descriptors: Rc<Descriptors>,
         settings: Rc<ActiveSettings>,
-        side_channels: SideChannels,
+        channels: Channels,
         session_driver: Option<Rc<SessionDriver>>,
     ) -> Rc<Self> {
-        let SideChannels { backend_commands, adopted_clients } = side_channels;
+        let Channels { backend_commands, adopted_clients } = channels;
         let delays = RefCell::new(MessageDelays::new(strictest_message_goal_ms(&settings)));
         Rc::new_cyclic(|weak_self| Self {
             core,
@@ -183,7 +183,8 @@
 
     /// Accepts a client's request. From here on the client is owed exactly one final answer, which is sent
     /// through `pipe`. A connection that was open before goes back to its server. If that server is not
-    /// known, the request waits for the first list from discovery and then for `patience_ms` at most.
+    /// known, the request waits for the first list from discovery, and for the server during the following
+    /// `server_wait_ms`.
     ///
     /// # Errors
     /// Returns the reason if no server may receive the request.
@@ -191,7 +192,7 @@
         &self,
         open_request: OpenRequest,
         pipe: Rc<Pipe>,
-        patience_ms: Millis,
+        server_wait_ms: Millis,
     ) -> Result<RequestHandle, &'static str> {
         let settings = self.settings.current();
         let names = &settings.names;
@@ -213,14 +214,14 @@
         let received_at = self.clock.now();
         if let Some(server) = previous_server {
             let known = self.directory.wait_for_server(server);
-            let patience_over = async {
+            let server_wait_over = async {
                 self.directory.wait_for_list().await;
-                self.clock.sleep(patience_ms).await;
+                self.clock.sleep(server_wait_ms).await;
             };
             tokio::select! {
                 biased;
                 () = known => {}
-                () = patience_over => return Err("unknown server"),
+                () = server_wait_over => return Err("unknown server"),
                 () = self.clock.sleep(wait_ms) => return Err("unknown server"),
             }
         }
--- a/node/src/exchange/record.rs
+++ b/node/src/exchange/record.rs
@@ -176,8 +176,8 @@
         }
     }
 
-    /// Writes one log line for the whole request: at debug level if it ended in an ordinary way, otherwise
-    /// at info level.
+    /// Writes one log line for the whole request: at debug level if its end is ordinary, otherwise at info
+    /// level.
     pub fn log(&self, id: u64) {
         let Some((reason, ended_at)) = self.ended else { return };
         let attempts: Vec<_> = self.attempts.iter().map(AttemptRecord::describe).collect();
--- a/node/src/exchange/session_driver.rs
+++ b/node/src/exchange/session_driver.rs
@@ -71,7 +71,8 @@
         self.exchange.replace(exchange);
     }
 
-    /// Handles an event at once. Its commands are carried out in order, after those already queued.
+    /// Handles an event immediately. The resulting commands are carried out in order, after those already
+    /// queued.
     pub fn feed(&self, event: Event) {
         let mut commands = Vec::new();
         self.sessions.borrow_mut().handle(self.clock.now(), event, &mut commands);
--- a/node/src/frontend/line.rs
+++ b/node/src/frontend/line.rs
@@ -32,7 +32,8 @@
 const IDLE_CLOSE_TIMEOUT_MS: Millis = 500.0;
 /// Pause after a failed accept, in milliseconds.
 const ACCEPT_RETRY_MS: Millis = 10.0;
-/// Time after a client's deadline at which it is answered if the balancer has not decided, in milliseconds.
+/// Time after a client's deadline at which the client is answered even if the balancer has not decided, in
+/// milliseconds.
 const DEADLINE_GRACE_MS: Millis = 5.0;
 /// Unwanted input is discarded in chunks of this size.
 const DISCARD_CHUNK_BYTES: usize = 512 * 1024;
@@ -49,14 +50,14 @@
     pub clock: Clock,
     /// The pool of descriptors for the sockets.
     pub descriptors: Rc<Descriptors>,
-    /// The settings in force: when clients may retry that are rejected because no descriptor is free.
+    /// The active settings: the retry delay for clients that are rejected because no descriptor is free.
     pub settings: Rc<ActiveSettings>,
     /// Slots for connections that have not sent a valid request yet or are being rejected.
     pub pending_slots: Rc<Slots>,
     /// Whether clients are accepted.
     pub serving: watch::Receiver<bool>,
-    /// Whether the process is about to end: connections without a request are rejected.
-    pub shutting_down: watch::Receiver<bool>,
+    /// Whether the process is about to exit: connections without a request are rejected.
+    pub terminating: watch::Receiver<bool>,
     /// Number of connections that were rejected since the last log line about them.
     pub rejected_count: Cell<usize>,
 }
@@ -177,15 +178,15 @@
         slot: &Slot,
         request_deadline: Millis,
     ) -> Result<(RequestHandle, Descriptor), RejectReason> {
-        let mut shutting_down = self.shutting_down.clone();
+        let mut terminating = self.terminating.clone();
         let result = tokio::select! {
             biased;
             result = self.clock.within(OPEN_REQUEST_TIMEOUT_MS, self.read_open_request(stream, pipe, slot)) => result,
             () = slot.evicted() => Some(Err(RejectReason::Evicted)),
-            _ = shutting_down.wait_for(|shutting_down| *shutting_down) => Some(Err(RejectReason::RetryLater(0.0))),
+            _ = terminating.wait_for(|terminating| *terminating) => Some(Err(RejectReason::RetryLater(0.0))),
         };
         let open_request = result.unwrap_or(Err(RejectReason::TimedOut))?;
-        if *self.shutting_down.borrow() {
+        if *self.terminating.borrow() {
             return Err(RejectReason::RetryLater(0.0));
         }
         let Some(descriptor) = self.descriptors.acquire(Purpose::Served) else {
@@ -241,7 +242,10 @@
         pipe.client_to_server.discard(line.len());
         let first_line = line::parse_first_line(&line);
         if first_line.is_none() {
-            tracing::debug!("malformed line: {}", line[..line.len().min(200)].escape_ascii());
+            tracing::debug!(
+                "malformed first line from a client: {}",
+                line[..line.len().min(200)].escape_ascii()
+            );
         }
         // The protocol requires a client to wait for its answer before it sends more.
         first_line.filter(|first_line| match first_line {
@@ -298,8 +302,8 @@
                     return;
                 }
                 FillEnd::DirectionEnded => {
-                    // The connection to the server has ended: only the data already received from the server is
-                    // still delivered.
+                    // The connection to the server has ended: only the data already received from the
+                    // server is still delivered.
                     client_sending = false;
                     self.clock.within(LINGER_MS, &mut writing).await.unwrap_or(false)
                 }
@@ -321,7 +325,7 @@
         }
     }
 
-    /// Answers the client if the balancer has not done so by its deadline. Never returns.
+    /// Answers the client if the balancer has not done so by the client's deadline. Never returns.
     async fn guard_deadline(&self, request_handle: &RequestHandle) {
         self.clock.sleep(request_handle.wait_ms() + DEADLINE_GRACE_MS).await;
         request_handle.deadline_passed();
--- a/node/src/io/descriptors.rs
+++ b/node/src/io/descriptors.rs
@@ -14,12 +14,13 @@
 /// Maximum number of descriptors reserved for the admin interface.
 const MAX_ADMIN_COUNT: usize = 16;
 /// Share of the remaining descriptors for connections that have not sent a request yet or are being rejected.
-/// Clients hold at most a third, and so do their connections to servers. Pending connections may also use
-/// what these leave free, except for a reserve of the same size, so that there is always room to serve.
+/// The rest is for served connections, each of which needs a descriptor for the client and one for the
+/// server. Pending connections may also use what these leave free, except for a reserve of the same size, so
+/// that there is always room to serve.
 const PENDING_RATIO: f64 = 0.25;
 
-/// Descriptors kept for clients that have connected without a request yet, and for their attempts, after all
-/// others were released to a successor.
+/// Number of unused descriptors that are kept when all others are released to a successor: for clients that
+/// have connected without a request yet, and for their attempts.
 const TRIM_HEADROOM_COUNT: usize = 16;
 
 /// What a descriptor is used for. Each purpose has its own share, so that none starves another.
--- a/node/src/io/listener.rs
+++ b/node/src/io/listener.rs
@@ -11,7 +11,7 @@
 /// Maximum number of connections in the accept queue.
 const BACKLOG: i32 = 1024;
 /// Maximum number of attempts to register an accepted socket with the event loop.
-const MAX_REGISTRATION_COUNT: usize = 100;
+const MAX_REGISTRATION_ATTEMPTS: usize = 100;
 
 /// A listening socket.
 ///
@@ -105,7 +105,7 @@
 pub async fn register(stream: std::net::TcpStream) -> io::Result<TcpStream> {
     stream.set_nonblocking(true)?;
     let mut duplicate = stream;
-    for _ in 0..MAX_REGISTRATION_COUNT {
+    for _ in 0..MAX_REGISTRATION_ATTEMPTS {
         let Ok(next_duplicate) = duplicate.try_clone() else {
             transient::backoff().await;
             continue;
--- a/node/src/io/pump.rs
+++ b/node/src/io/pump.rs
@@ -25,22 +25,23 @@
 }
 
 /// Fills the ring from the socket until the sender closes, the connection fails or the direction ends.
-/// `arrived` is called after each read and returns whether to continue. The caller is responsible for ending
+/// `on_data` is called after each read and returns whether to continue. The caller is responsible for ending
 /// the direction accordingly.
-pub async fn fill(stream: &TcpStream, ring: &Ring, mut arrived: impl FnMut() -> bool) -> FillEnd {
+pub async fn fill(stream: &TcpStream, ring: &Ring, mut on_data: impl FnMut() -> bool) -> FillEnd {
     while ring.wait_for_space().await {
         // The direction may end while no data arrives.
         let readable = tokio::select! {
             readable = stream.readable() => readable,
             () = ring.wait_for_end() => return FillEnd::DirectionEnded,
         };
-        // Both may be true. Bytes read now would be lost to the process that takes over the connection.
+        // Data may have arrived at the same moment as the end. Bytes read now would be lost to the process
+        // that takes over the connection.
         if ring.has_ended() {
             return FillEnd::DirectionEnded;
         }
         match readable.and_then(|()| ring.fill(|space| stream.try_read(space))) {
             Ok(0) => return FillEnd::Closed,
-            Ok(_) if arrived() => {}
+            Ok(_) if on_data() => {}
             Ok(_) => return FillEnd::Stopped,
             Err(error) => {
                 if let Err(error) = recover(error).await {
@@ -122,7 +123,7 @@
     }
 }
 
-/// Lines to be sent between those of a ring.
+/// Lines to be sent between those of a ring. Links to lease replicas use the same queue for their frames.
 #[derive(Debug, Default)]
 pub struct InterleavedLines {
     lines: RefCell<Vec<u8>>,
@@ -133,7 +134,7 @@
 const MAX_INTERLEAVED_BYTES: usize = 1024 * 1024;
 
 impl InterleavedLines {
-    /// Adds whole lines. Returns false if they don't fit because too much is waiting already.
+    /// Adds whole lines. Returns false, and adds nothing, if the waiting lines would exceed the maximum size.
     pub fn push(&self, lines: &[u8]) -> bool {
         let mut waiting = self.lines.borrow_mut();
         if waiting.len() + lines.len() > MAX_INTERLEAVED_BYTES {
@@ -239,7 +240,7 @@
 pub fn drop_unread(stream: &TcpStream) {
     let mut unread = [MaybeUninit::uninit(); 32 * 1024];
     // Bounded, as data may arrive faster than it is discarded.
-    for _ in 0..MAX_DROP_ROUND_COUNT {
+    for _ in 0..MAX_DROP_ROUNDS {
         match SockRef::from(stream).recv_with_flags(&mut unread, libc::MSG_TRUNC) {
             Ok(0) => return,
             Err(error) if !is_recoverable(&error) => return,
@@ -249,7 +250,7 @@
 }
 
 /// Maximum number of rounds in which unread bytes are discarded right before a close.
-const MAX_DROP_ROUND_COUNT: usize = 64;
+const MAX_DROP_ROUNDS: usize = 64;
 
 /// Makes the socket send a reset when it is closed.
 pub fn reset(stream: &TcpStream) {
--- a/node/src/io/ring.rs
+++ b/node/src/io/ring.rs
@@ -1,8 +1,8 @@
 //! The buffer between a client and its server, one for each direction of a connection.
 //!
-//! One task fills the ring from its socket, the other drains it to its own. A ring is bounded: while it is
-//! full, its source socket is not read, which applies backpressure to the peer. Bytes become available to the
-//! draining task only once they are committed, which allows the direction to the client to forward whole
+//! One task fills the ring from one socket, another drains it to the other socket. A ring is bounded: while it
+//! is full, its source socket is not read, which applies backpressure to the peer. Bytes become available to
+//! the draining task only once they are committed, which allows the direction to the client to forward whole
 //! lines.
 
 use std::cell::RefCell;
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Lets `read` write into contiguous free space; it returns the number of bytes written.
+    /// Lets `read` write into contiguous free space. `read` must return the number of bytes that it wrote.
     pub fn fill(&self, read: impl FnOnce(&mut [u8]) -> io::Result<usize>) -> io::Result<usize> {
         let state = &mut *self.state.borrow_mut();
         let capacity = state.bytes.len();
@@ -195,7 +195,8 @@
         }
     }
 
-    /// Lets `write` consume contiguous committed bytes; it returns the number of bytes consumed.
+    /// Lets `write` consume contiguous committed bytes. `write` must return the number of bytes that it
+    /// consumed.
     pub fn consume(&self, write: impl FnOnce(&[u8]) -> io::Result<usize>) -> io::Result<usize> {
         let mut state = self.state.borrow_mut();
         let end = (state.head + state.committed).min(state.bytes.len());
--- a/node/src/membership/discovery.rs
+++ b/node/src/membership/discovery.rs
@@ -58,8 +58,8 @@
     watch: RefCell<Option<AbortHandle>>,
     /// The session component, which also needs to know the servers, if sessions are enabled.
     session_driver: RefCell<Option<Rc<SessionDriver>>>,
-    /// The observer that keeps the list across restarts, if any, and the time of the last data from the
-    /// service.
+    /// The observer that keeps the list across restarts, if any, and the time at which a watch last delivered
+    /// data.
     observer: RefCell<Option<Rc<dyn ListObserver>>>,
     last_contact_at: Cell<Millis>,
     /// The last call that reached the service was rejected or not answered.
@@ -106,7 +106,8 @@
         self.observer.replace(Some(observer));
     }
 
-    /// Returns the time of the last data from the service, including confirmations that nothing has changed.
+    /// Returns the time at which a watch last delivered data, including confirmations that nothing has
+    /// changed.
     pub fn last_contact_at(&self) -> Millis {
         self.last_contact_at.get()
     }
@@ -122,8 +123,8 @@
         self.feed(Event::ServerList { kind: ListKind::Delta, entries });
     }
 
-    /// Starts with the list known before the start, which may be stale. In push mode, the watch for later
-    /// changes is opened immediately.
+    /// Starts with the list that was known when the process started, which may be stale. In push mode, the
+    /// watch for later changes is opened immediately.
     pub fn start(&self, known_list: &List) {
         self.start_withholding(known_list, &|_| false);
     }
@@ -309,7 +310,7 @@
                 if !discovery.push_mode {
                     return discovery.report_failure("watch", &reason);
                 }
-                tracing::info!("discovery: watch: {reason}; reopening");
+                tracing::info!("discovery: watch failed: {reason}; reopening it");
                 discovery.clock.sleep(PUSH_WATCH_RETRY_MS).await;
             }
         });
--- a/node/src/operations/admin.rs
+++ b/node/src/operations/admin.rs
@@ -67,7 +67,7 @@
 
     /// Serves one request; the slot is returned after the socket is closed.
     async fn serve(&self, stream: TcpStream, slot: Slot) {
-        let exchange = async {
+        let handling = async {
             let response = match self.clock.within(REQUEST_TIMEOUT_MS, read_request(&stream)).await {
                 Some(Some(Ok(request))) => self.respond(&request),
                 Some(Some(Err(response))) => response,
@@ -86,7 +86,7 @@
         };
         tokio::select! {
             biased;
-            () = exchange => {}
+            () = handling => {}
             () = slot.evicted() => {}
         }
         drop(stream);
--- a/node/src/operations/config.rs
+++ b/node/src/operations/config.rs
@@ -98,7 +98,7 @@
 ) -> Result<Config, String> {
     let active = load_with(variable, |_| Ok(text.as_bytes().to_vec()), true)?;
     let configured = configured.unwrap_or_else(|message| {
-        tracing::error!("keeping the configuration of the predecessor: {message}");
+        tracing::error!("cannot load the configuration, using that of the predecessor: {message}");
         // The predecessor's random numbers must not be repeated.
         Config { seed: active.seed.wrapping_add(1), ..active.clone() }
     });
--- a/node/src/operations/handover.rs
+++ b/node/src/operations/handover.rs
@@ -63,19 +63,21 @@
     link: Link,
 }
 
-/// Requests a handover from a predecessor. Returns `None` if there is no predecessor, or if it does not
-/// answer in time.
+/// Requests a handover from a predecessor. Returns `None` if there is no predecessor, or if the handover
+/// fails or does not arrive in time.
 pub async fn request(path: &Path, clock: &Clock) -> Option<Inherited> {
     // A failed connect means that no process listens any more and the socket file is stale.
     let link = UnixStream::connect(path).await.ok()?;
     match clock.within(REQUEST_TIMEOUT_MS, receive(link)).await {
         Some(Ok(inherited)) => Some(inherited),
         Some(Err(error)) => {
-            tracing::warn!("no handover from the predecessor: {error}");
+            tracing::warn!("no handover from the predecessor: {error}; starting without its state");
             None
         }
         None => {
-            tracing::warn!("no handover from the predecessor: no response in time");
+            tracing::warn!(
+                "no handover from the predecessor: no response in time; starting without its state"
+            );
             None
         }
     }
@@ -218,7 +220,7 @@
 pub struct Handover {
     /// The decision logic.
     pub core: Rc<Core>,
-    /// Measures the time limits.
+    /// The clock for timeouts.
     pub clock: Clock,
     /// The requests in progress, of which a successor must know.
     pub exchange: Rc<Exchange>,
@@ -239,7 +241,7 @@
     pub terminating: watch::Sender<bool>,
     /// The resources that the predecessor retains, as last reported, minus those passed to this process
     /// since.
-    predecessor: RefCell<Retained>,
+    predecessor_retained: RefCell<Retained>,
     /// The open links, for sending messages.
     links: RefCell<Vec<mpsc::UnboundedSender<Outgoing>>>,
 }
@@ -266,7 +268,7 @@
             config: config.into(),
             shutting_down: Cell::default(),
             terminating: watch::Sender::new(false),
-            predecessor: RefCell::default(),
+            predecessor_retained: RefCell::default(),
             links: RefCell::default(),
         })
     }
@@ -279,8 +281,8 @@
             .retain(|link| link.send(Message::Maintenance { server, begins }.into()).is_ok());
     }
 
-    /// Continues from the predecessor's state and counts the resources it retains. Must be called once
-    /// clients can be accepted.
+    /// Continues from the predecessor's state and counts the resources that the predecessor retains. Must be
+    /// called once clients can be accepted.
     pub fn follow_predecessor(self: &Rc<Self>, inherited: Snapshot, mut link: Link) {
         inherited.knowledge.into_iter().for_each(|known| self.core.feed(Event::TakeOver(known)));
         self.update_predecessor(inherited.retained);
@@ -300,7 +302,10 @@
                     match (to_stream(client), to_stream(server)) {
                         (Ok(client), Ok(server)) => this.adopt(connection, client, server),
                         (Err(error), _) | (_, Err(error)) => {
-                            tracing::error!(%error, "failed to take over a connection");
+                            tracing::error!(
+                                %error,
+                                "failed to take over a connection from the predecessor, closing it"
+                            );
                         }
                     }
                 }
@@ -319,21 +324,21 @@
         self.descriptors.reserve_for_predecessor(retained.descriptors);
         self.exchange.set_predecessor_ids(retained.ids.clone());
         self.core.feed(Event::PredecessorHoldings(retained.holdings.clone()));
-        self.predecessor.replace(retained);
+        self.predecessor_retained.replace(retained);
     }
 
     /// Takes over a connection from the predecessor. Until the predecessor's next report, the connection must
     /// not be counted twice: its server would appear to have twice the load, and be relieved of connections.
     fn adopt(&self, connection: Connection, client: TcpStream, server: TcpStream) {
-        let mut predecessor = self.predecessor.borrow_mut();
+        let mut predecessor_retained = self.predecessor_retained.borrow_mut();
         if let Some(holding) =
-            predecessor.holdings.iter_mut().find(|holding| holding.server == connection.server)
+            predecessor_retained.holdings.iter_mut().find(|holding| holding.server == connection.server)
         {
             holding.open = holding.open.saturating_sub(1);
             holding.load -= connection.load;
-            self.core.feed(Event::PredecessorHoldings(predecessor.holdings.clone()));
+            self.core.feed(Event::PredecessorHoldings(predecessor_retained.holdings.clone()));
         }
-        drop(predecessor);
+        drop(predecessor_retained);
         self.exchange.adopt(connection, client, server);
     }
 
@@ -352,7 +357,7 @@
             match accepted {
                 Ok((link, _)) => self.hand_over(link, &clients, &successors).await,
                 Err(error) => {
-                    tracing::warn!(%error, "failed to accept a successor");
+                    tracing::warn!(%error, "failed to accept a connection from a successor");
                     self.clock.sleep(ACCEPT_RETRY_MS).await;
                 }
             }
@@ -376,7 +381,9 @@
                 .then_some(())
         };
         let Some(Some(())) = self.clock.within(ACCEPT_TIMEOUT_MS, negotiation).await else {
-            tracing::warn!("a successor requested a handover and did not complete it");
+            tracing::warn!(
+                "a successor requested a handover and did not complete it; this process continues to serve"
+            );
             return;
         };
         tracing::info!(requests = self.exchange.request_count(), "a successor accepts clients");
--- a/node/src/operations/shutdown.rs
+++ b/node/src/operations/shutdown.rs
@@ -26,14 +26,14 @@
 
 /// What a shutdown operates on.
 pub struct Shutdown<'a> {
-    /// Measures the time limits.
+    /// The clock for timeouts.
     pub clock: &'a Clock,
     /// The active settings, which determine the schedule of the shutdown.
     pub settings: &'a ActiveSettings,
     /// The connections, and whether there is a successor.
     pub handover: &'a Handover,
-    /// Clients that have not sent a request yet.
-    pub clients: &'a Rc<LineFrontend>,
+    /// The client side, which accepts the clients that arrive until the end.
+    pub frontend: &'a Rc<LineFrontend>,
     /// The socket on which clients arrive.
     pub listener: &'a Listener,
 }
@@ -46,23 +46,23 @@
         let (clock, handover) = (self.clock, self.handover);
         handover.shutting_down.set(true);
         let started_at = clock.now();
-        let ending = ShutdownSchedule::for_deadline(self.settings.current().max_deadline_ms);
+        let schedule = ShutdownSchedule::for_deadline(self.settings.current().max_deadline_ms);
         let mut serving = handover.serving.subscribe();
         tracing::info!(
             requests = handover.exchange.request_count(),
-            killed_after_ms = ending.kill_at,
-            "SIGTERM: serving new connections, then moving all"
+            killed_after_ms = schedule.kill_at,
+            "SIGTERM: still serving new connections, then moving all clients"
         );
         // A successor may start to accept clients at this very moment.
         let has_successor = serving.wait_for(|serving| !*serving);
-        let has_successor = clock.within(ending.serve_until, has_successor).await.is_some();
+        let has_successor = clock.within(schedule.serve_until, has_successor).await.is_some();
         let hand_over_until =
-            if has_successor { clock.now() - started_at + ending.handover_until } else { 0.0 };
-        let [from, until, leave_at] =
-            [hand_over_until, ending.answer_pending_at, ending.exit_at].map(|after| started_at + after);
+            if has_successor { clock.now() - started_at + schedule.handover_until } else { 0.0 };
+        let [from, until, exit_at] =
+            [hand_over_until, schedule.answer_pending_at, schedule.exit_at].map(|after| started_at + after);
         tokio::select! {
             () = self.until_empty() => {}
-            () = self.move_connections(from, until, leave_at) => {}
+            () = self.move_connections(from, until, exit_at) => {}
         }
         tracing::info!(
             requests = handover.exchange.request_count(),
@@ -72,22 +72,22 @@
     }
 
     /// Moves the established connections at an even rate between `from` and `until`, then ends everything
-    /// that remains, and waits at least until `leave_at` for the closing messages to be sent. A process that
-    /// was delayed beyond that still allows time for them.
-    async fn move_connections(&self, from: Millis, until: Millis, leave_at: Millis) {
+    /// that remains, and waits at least until `exit_at` for the closing messages to be sent. A process that
+    /// was delayed beyond `exit_at` still waits [`FINAL_FLUSH_MS`] for them.
+    async fn move_connections(&self, from: Millis, until: Millis, exit_at: Millis) {
         let (clock, exchange) = (self.clock, &self.handover.exchange);
         clock.sleep(from.min(until) - clock.now()).await;
         let mut quota = 0.0;
         let mut final_answer_at = f64::INFINITY;
-        while clock.now() < leave_at.max(final_answer_at + FINAL_FLUSH_MS) {
-            let remaining = until - clock.now();
+        while clock.now() < exit_at.max(final_answer_at + FINAL_FLUSH_MS) {
+            let remaining_ms = until - clock.now();
             // Fractions accumulate: moving at least one connection per tick would move a small number of them
             // all at once.
             quota += exchange.established_count() as f64
-                * if remaining > TICK_MS { TICK_MS / remaining } else { 1.0 };
+                * if remaining_ms > TICK_MS { TICK_MS / remaining_ms } else { 1.0 };
             exchange.move_oldest(quota as usize);
             quota = quota.fract();
-            if remaining <= 0.0 {
+            if remaining_ms <= 0.0 {
                 final_answer_at = final_answer_at.min(clock.now());
                 // Requests that still wait need an answer too, and clients without a request yet must not
                 // start waiting.
@@ -107,9 +107,10 @@
             self.clock.sleep(TICK_MS).await;
             // On an overloaded machine, clients may be in the accept queue before the event loop reports
             // them.
-            let accepted = *self.handover.serving.borrow() && self.clients.accept_pending(self.listener);
-            let remaining = self.pending_connections() + self.handover.descriptors.in_use(Purpose::Served);
-            if !accepted && remaining + self.handover.exchange.request_count() == 0 {
+            let accepted = *self.handover.serving.borrow() && self.frontend.accept_pending(self.listener);
+            let connection_count =
+                self.pending_connections() + self.handover.descriptors.in_use(Purpose::Served);
+            if !accepted && connection_count + self.handover.exchange.request_count() == 0 {
                 return;
             }
         }
--- a/node/src/operations/state.rs
+++ b/node/src/operations/state.rs
@@ -187,11 +187,11 @@
         loop {
             let now = self.dependencies.clock.now();
             let due_at = self.recovery.borrow().next_timeout();
-            let wait = due_at
+            let wait_ms = due_at
                 .map_or(self.trusted_ms / 4.0, |due_at| (due_at - now).clamp(1.0, self.trusted_ms / 4.0));
             let changed = self.changed.notified();
             tokio::select! {
-                () = self.dependencies.clock.sleep(wait) => {}
+                () = self.dependencies.clock.sleep(wait_ms) => {}
                 () = changed => {}
             }
             if due_at.is_some_and(|due_at| due_at <= self.dependencies.clock.now()) {
@@ -242,8 +242,11 @@
                 Command::Probe(server) => self.probe(server),
                 Command::PhaseChanged(phase) => {
                     let recovery = self.recovery.borrow();
-                    let elapsed_ms = recovery.phase_durations().last().map_or(0.0, |spent| spent.1);
-                    tracing::info!("phase {}, after {elapsed_ms:.0} ms", phase.name());
+                    let previous_ms = recovery.phase_durations().last().map_or(0.0, |previous| previous.1);
+                    tracing::info!(
+                        "recovery: phase {}, after {previous_ms:.0} ms in the previous phase",
+                        phase.name()
+                    );
                 }
                 Command::Admit(_) => {}
             }
--- a/node/src/protocol/handover.rs
+++ b/node/src/protocol/handover.rs
@@ -38,11 +38,16 @@
     pub retained: Retained,
 }
 
-/// A single accept queue and surviving connections matter more than this knowledge: if it can't be decoded,
-/// for example because a number is not finite, it is dropped and the handover continues.
+/// Decodes the state of the decision logic, or returns `None` if that fails, for example because a number is
+/// not finite. The handover then continues without it: a single accept queue and surviving connections matter
+/// more.
 fn knowledge_or_none<'a, D: serde::Deserializer<'a>>(from: D) -> Result<Option<LearnedState>, D::Error> {
     let read = serde_json::from_value(serde_json::Value::deserialize(from)?);
-    Ok(read.inspect_err(|e| tracing::warn!("cannot decode the predecessor's state: {e}")).ok())
+    Ok(read
+        .inspect_err(|e| {
+            tracing::warn!("cannot decode what the predecessor has learned: {e}; continuing without it")
+        })
+        .ok())
 }
 
 /// The resources that a process retains after a handover.
--- a/node/src/serve.rs
+++ b/node/src/serve.rs
@@ -89,8 +89,8 @@
     };
     let listen = match &configured {
         Ok(config) => Some(config.listen),
-        // The configuration of the predecessor may be used instead; the address by which it is found may
-        // also be set in the environment.
+        // The configuration of the predecessor may be used instead. The predecessor is found by the listen
+        // address, which may be set in the environment alone.
         Err(_) => env_var("NODE_LISTEN").and_then(|text| text.parse().ok()),
     };
     let handover_path = listen.map(handover::path);
@@ -105,7 +105,7 @@
             match config::inherit(configured.clone(), &predecessor.config, predecessor.discovery, env_var) {
                 Ok(config) => (config, Some(inherited)),
                 Err(message) => {
-                    tracing::warn!("cannot take over from the previous process: {message}");
+                    tracing::warn!("no handover from the predecessor: {message}; starting without its state");
                     (configured?, None)
                 }
             }
@@ -172,7 +172,7 @@
         directory.clone(),
         descriptors.clone(),
         settings.clone(),
-        exchange::SideChannels { backend_commands, adopted_clients },
+        exchange::Channels { backend_commands, adopted_clients },
         session_driver.clone(),
     );
     if let Some(session_driver) = &session_driver {
@@ -195,7 +195,7 @@
     let state = match &features.operators.store {
         Some(store) => {
             let folder = operators.and_then(Path::parent).unwrap_or(Path::new("")).join(&store.folder);
-            let parts = state::Dependencies {
+            let dependencies = state::Dependencies {
                 core: core.clone(),
                 clock: clock.clone(),
                 discovery: discovery.clone(),
@@ -203,7 +203,7 @@
                 descriptors: descriptors.clone(),
                 settings: settings.clone(),
             };
-            Some((state::StoredState::new(parts, store, &folder, config.seed)?, folder))
+            Some((state::StoredState::new(dependencies, store, &folder, config.seed)?, folder))
         }
         None => None,
     };
@@ -240,7 +240,7 @@
         Ok(successors) => {
             tokio::task::spawn_local(handover.clone().listen(successors, listener.clone()));
         }
-        // An upgrade is then a plain restart; this is no reason not to serve.
+        // The balancer can serve without this socket; an upgrade is then a plain restart.
         Err(error) => tracing::warn!("cannot listen for a successor process at {}: {error}", path.display()),
     }
     if let Some(address) = config.admin {
@@ -255,14 +255,14 @@
         descriptors,
         settings: settings.clone(),
         serving: handover.serving.subscribe(),
-        shutting_down: handover.terminating.subscribe(),
+        terminating: handover.terminating.subscribe(),
         rejected_count: Cell::default(),
     });
     let shutdown = shutdown::Shutdown {
         clock: &clock,
         settings: &settings,
         handover: &handover,
-        clients: &frontend,
+        frontend: &frontend,
         listener: &listener,
     };
     tracing::info!(
@@ -289,7 +289,7 @@
 }
 
 /// Listens on an address. Retries for a while, as the address may become free soon, for example when a
-/// previous process exits.
+/// process that used it exits.
 async fn listen(clock: &Clock, address: SocketAddr) -> std::io::Result<Listener> {
     let deadline = clock.now() + BIND_TIMEOUT_MS;
     loop {
--- a/node/tests/maintenance.rs
+++ b/node/tests/maintenance.rs
@@ -1,4 +1,4 @@
-//! Maintenance commands of operators, if an upgrade hands over no state.
+//! Maintenance commands of operators must persist if an upgrade hands over no state.
 #![allow(missing_docs, reason = "test names describe the expected behaviour")]
 
 mod support;
@@ -35,6 +35,6 @@
     assert_serves_only(&new, &staying, &maintained);
     assert_eq!(new.admin_call("POST /form-hosts/s-1/ready"), "HTTP/1.1 200 OK");
     maintained.listener.set_nonblocking(false).expect("a listening socket");
-    // The first connection goes to it, so that operators see it serve.
+    // The server that is back in service gets the first connection, so that operators see it serve.
     new.establish(&maintained);
 }
--- a/node/tests/malformed_input.rs
+++ b/node/tests/malformed_input.rs
@@ -103,7 +103,7 @@
         drop(watch);
         balancer.wait_for_log("Failed");
     }
-    // None of it changes the revision.
+    // None of the malformed input changes the version of the list.
     let (path, mut watch) = balancer.next_discovery_call();
     assert_eq!(path, "GET /catalog/members?watch=1&after=41 HTTP/1.1");
     begin_watch_response(&mut watch);
--- a/node/tests/process.rs
+++ b/node/tests/process.rs
@@ -21,20 +21,21 @@
     let mut upstream = server.accept();
     let (line, wait_ms) = split_wait_ms(&upstream.read_line());
     assert!(wait_ms > 0 && wait_ms < 2000, "{wait_ms}");
-    let mut received = vec![format!("host: {line}")];
+    let mut received = vec![format!("server: {line}")];
     upstream.send("UP 0xABC receipt\r\nLOAD 12.5\r\n");
     received.extend([format!("client: {}", client.read_line()), format!("client: {}", client.read_line())]);
     client.send("one\r\ntwo\r\n");
-    received.extend([format!("host: {}", upstream.read_line()), format!("host: {}", upstream.read_line())]);
+    received
+        .extend([format!("server: {}", upstream.read_line()), format!("server: {}", upstream.read_line())]);
     upstream.send("three\r\nBYE\r\n");
     drop(upstream);
     received.extend(client.read_to_end().iter().map(|line| format!("client: {line}")));
     insta::assert_snapshot!(received.join("\n"), @r"
-    host: OPEN 1f 2f c=chat,d=_,g=3f,x=0.50
+    server: OPEN 1f 2f c=chat,d=_,g=3f,x=0.50
     client: UP 0xABC receipt
     client: LOAD 12.5
-    host: one
-    host: two
+    server: one
+    server: two
     client: three
     client: BYE
     client: (end)
@@ -96,10 +97,10 @@
     let mut upstream = server.accept();
     assert!(split_wait_ms(&upstream.read_line()).1 < 700);
     assert!(client.read_line().starts_with("BUSY"));
-    // With real sockets all time limits are 50 ms longer.
+    // With real sockets, the answer may come up to 50 ms after the deadline.
     assert!(requested_at.elapsed() < Duration::from_millis(750), "{:?}", requested_at.elapsed());
     assert!(upstream.read_line().starts_with('('), "the attempt is not cancelled");
-    // The answer must come from the decision code, before the deadline check that backs it up takes effect.
+    // The answer must come from the decision logic, before the deadline check that backs it up takes effect.
     loop {
         let line = balancer.wait_for_log("");
         assert!(!line.contains("no answer before the deadline of the request"), "{line}");
@@ -110,7 +111,7 @@
 }
 
 #[test]
-fn connection_open_before_goes_to_its_server_although_it_drains() {
+fn restored_connection_goes_to_its_server_although_that_drains() {
     let (server, other) = (TestServer::new("s-1"), TestServer::new("s-2"));
     let balancer = BalancerProcess::start(&[&other], SOCKET_LIMIT);
     // The server is not listed yet, so the connection waits for the list.
@@ -173,7 +174,7 @@
     );
     client.send_bytewise("two\r\n");
     assert_eq!(upstream.read_line(), "two");
-    // Changes must be known within 6 s, so a stalled watch must be cancelled before.
+    // Changes must be known within 6 s, so a stalled watch must be cancelled earlier.
     assert_eq!(balancer.next_discovery_call().0, "GET /catalog/members?watch=1&after=45 HTTP/1.1");
     assert!(stalled_at.elapsed() < Duration::from_millis(4_500), "{:?}", stalled_at.elapsed());
 }
@@ -211,7 +212,7 @@
     // The last data from the server may be 2 s older than the line.
     assert!(sent_at.elapsed() < Duration::from_secs(5), "{:?}", sent_at.elapsed());
     assert!(sent_at.elapsed() > Duration::from_secs(4), "{:?}", sent_at.elapsed());
-    // The decision code must not take it for a client that left a healthy server.
+    // The decision logic must see a broken connection, not a client that left a healthy server.
     balancer.wait_for_log("outcome: Reset, closed: true");
 }
 
@@ -269,7 +270,7 @@
         new_upstream.read_line();
         new_upstream.send("UP 2\r\n");
         assert_eq!(new_client.read_line(), "UP 2");
-        // The new list applies although its revisions start again.
+        // The new list applies although its versions start again.
         begin_watch_response(&mut watch);
         send_chunk(&mut watch, &(list_json(1, false, &[entry]) + "\n"));
         balancer.wait_for_log("ServerList { kind: Delta");
@@ -539,7 +540,7 @@
     for _ in 0..2 {
         assert_eq!(balancer.admin_call("POST /form-hosts/s-1/ready"), "HTTP/1.1 200 OK");
     }
-    // The first connection goes to it, so that operators see it serve.
+    // The server that is back in service gets the first connection, so that operators see it serve.
     balancer.establish(&maintained);
 }
 
--- a/node/tests/pushed_lists.rs
+++ b/node/tests/pushed_lists.rs
@@ -33,11 +33,11 @@
     push(&mut watch, &list_json(45, false, &[leaving.entry("DRAINING")]));
     balancer.wait_for_log("ServerList { kind: Delta");
     assert!(serves_only(&balancer, &staying, &leaving), "a connection was sent to a draining server");
-    // A closed watch is reopened after the last revision received.
+    // A closed watch is reopened after the last version received.
     drop(watch);
     let (path, mut second_watch) = balancer.next_discovery_call();
     assert_eq!(path, AFTER_45);
-    // An error response leads to a new call without notifying the decision code, which would back off.
+    // An error response leads to a new call without notifying the decision logic, which would back off.
     second_watch.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
     let failed_at = Instant::now();
     let (path, mut third_watch) = balancer.next_discovery_call();
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn list_of_a_restarted_agent_with_lower_revision_applies() {
+fn list_of_a_restarted_agent_with_a_lower_version_applies() {
     let (first, second) = (TestServer::new("s-1"), TestServer::new("s-2"));
     let mut balancer = BalancerProcess::start_with_pushed_lists(&[&first, &second]);
     let (_, mut watch) = balancer.next_discovery_call();
@@ -95,7 +95,7 @@
     let (path, mut new_watch) = balancer.next_discovery_call();
     assert_eq!(path, AFTER_45);
     begin_watch_response(&mut new_watch);
-    // Its list applies regardless of the revision.
+    // Its list applies regardless of its version.
     push(&mut new_watch, &list_json(3, false, &[first.entry("SERVING"), second.entry("DRAINING")]));
     balancer.wait_for_log("ServerList { kind: Delta");
     assert!(serves_only(&balancer, &first, &second), "a connection was sent to a draining server");
@@ -111,7 +111,8 @@
     let mut new = old.start_successor();
     let (path, mut new_watch) = new.next_discovery_call();
     begin_watch_response(&mut new_watch);
-    // It requests changes after the revision handed over, which may or may not include the pushed one.
+    // The successor requests changes after the version that was handed over, which may or may not include
+    // the pushed change.
     if path == AFTER_41 {
         push(&mut new_watch, &list_json(45, false, &[leaving.entry("DRAINING")]));
         new.wait_for_log("ServerList { kind: Delta");
--- a/node/tests/race_conditions.rs
+++ b/node/tests/race_conditions.rs
@@ -21,7 +21,7 @@
     let connections = connections.into_iter().map(|(mut client, mut upstream)| {
         std::thread::spawn(move || {
             let line = "x".repeat(1_000) + "\r\n";
-            // More than the client's buffers hold, and less than the balancer's system accepts.
+            // More than the client's buffers hold, and less than the system buffers on the way accept.
             upstream.send(&line.repeat(600));
             let (finish, finished) = channel::<()>();
             let flooding = std::thread::spawn({
--- a/node/tests/state_command.rs
+++ b/node/tests/state_command.rs
@@ -1,5 +1,5 @@
 //! `marllink state` on a folder that the test writes. This test has a file of its own: a process started by
-//! another test would share the lock of the folder until it executes its own program.
+//! another test would share the lock of the folder between fork and exec.
 #![allow(missing_docs, reason = "test names describe the expected behaviour")]
 
 use marllink_store::{FileDisk, LOG_FILE, Record, Store};
--- a/node/tests/support/mod.rs
+++ b/node/tests/support/mod.rs
@@ -20,7 +20,7 @@
 }
 
 /// Binds a socket to an address that may still be in use: a process that another test has just started shares
-/// all open sockets until it executes its own program.
+/// all open sockets between fork and exec.
 fn bind_reusable(address: SocketAddr) -> socket2::Socket {
     let socket =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a free descriptor");
@@ -266,7 +266,7 @@
         change_config: impl FnOnce(String) -> String,
         prepare: impl FnOnce(&std::path::Path) -> T,
     ) -> Self {
-        let entries: Vec<_> = servers.iter().map(|h| h.entry("SERVING")).collect();
+        let entries: Vec<_> = servers.iter().map(|server| server.entry("SERVING")).collect();
         let discovery = listen();
         let (listen, admin) = (free_address(), free_address());
         let config = format!(
