--- a/node/src/operations/admin.rs
+++ b/node/src/operations/admin.rs
@@ -73,7 +73,7 @@
                 Some(Some(Err(response))) => response,
                 // No response is needed once the peer has closed.
                 Some(None) => return,
-                None => Response::new(408, "no request in time"),
+                None => Response::new(408, "no call in time"),
             };
             let closing = async {
                 pump::write_all(&stream, response.to_http().as_bytes()).await.ok()?;
@@ -94,12 +94,12 @@
 
     fn respond(&self, request: &RequestHead) -> Response {
         match admin::parse_command(request) {
-            Ok(Command::Health) if *self.handover.serving.borrow() => Response::new(200, "accepting clients"),
-            Ok(Command::Health) => Response::new(503, "not accepting clients"),
+            Ok(Command::Health) if *self.handover.serving.borrow() => Response::new(200, "taking clients"),
+            Ok(Command::Health) => Response::new(503, "taking no clients"),
             Ok(Command::Maintenance { uid, begins }) => {
                 let server = ServerId(line::hash_server_name(uid));
                 if self.handover.directory.address(server).is_none() {
-                    return Response::new(404, "no server of this name was ever listed");
+                    return Response::new(404, "no such form host was ever listed");
                 }
                 tracing::info!(
                     "admin: {uid} is {}",
@@ -107,7 +107,7 @@
                 );
                 self.maintenance.set(uid, begins);
                 self.handover.notify_maintenance(server, begins);
-                Response::new(200, if begins { "in maintenance" } else { "back in service" })
+                Response::new(200, if begins { "out" } else { "back" })
             }
             Err(response) => response,
         }
@@ -120,7 +120,7 @@
     loop {
         match http::parse_request_head(&raw) {
             Parsed::Complete(request, _) => return Some(Ok(request)),
-            Parsed::Malformed => return Some(Err(Response::new(400, "malformed request"))),
+            Parsed::Malformed => return Some(Err(Response::new(400, "no call"))),
             Parsed::Partial => {}
         }
         if !pump::read_more(stream, &mut raw).await.ok()? {
--- a/node/src/protocol/admin.rs
+++ b/node/src/protocol/admin.rs
@@ -31,7 +31,7 @@
     }
 
     const fn method_not_allowed(method: &'static str) -> Self {
-        Self { status: 405, text: "method not allowed", allow: Some(method) }
+        Self { status: 405, text: "another method", allow: Some(method) }
     }
 
     /// Returns the response in its wire format.
@@ -65,7 +65,7 @@
         ["", "healthcheck"] => ("GET", Command::Health),
         ["", "form-hosts", uid, "maint"] => ("POST", Command::Maintenance { uid, begins: true }),
         ["", "form-hosts", uid, "ready"] => ("POST", Command::Maintenance { uid, begins: false }),
-        _ => return Err(Response::new(404, "not found")),
+        _ => return Err(Response::new(404, "no such place")),
     };
     if request.method == method { Ok(command) } else { Err(Response::method_not_allowed(method)) }
 }
@@ -95,11 +95,11 @@
         insta::assert_snapshot!(Response::method_not_allowed("GET").to_http().replace('\r', "~"), @r"
         HTTP/1.1 405 Method Not Allowed~
         Content-Type: text/plain~
-        Content-Length: 19~
+        Content-Length: 15~
         Allow: GET~
         Connection: close~
         ~
-        method not allowed
+        another method
         ");
     }
 }
